--- a/src/core/asked.rs
+++ b/src/core/asked.rs
@@ -108,9 +108,9 @@
 }
 
 impl Core {
-    fn at(&self, msg: u64, held: &super::Msg) -> At {
+    fn at(&self, msg: u64, held: &super::PendingMessage) -> At {
         let decided = || self.journal.owed().get(&msg).is_some_and(|owed| owed.verdict.is_some());
-        match held.out {
+        match held.in_flight {
             true => At::Out,
             false if decided() => At::NoticeOwed,
             false => At::Waiting,
@@ -119,18 +119,18 @@
 
     /// Where the message of this id is.
     pub fn place(&self, now: Micros, id: &str) -> Place {
-        let held = self.by_id.get(id).and_then(|msg| Some((*msg, self.msgs.get(msg)?)));
+        let held = self.messages_by_id.get(id).and_then(|msg| Some((*msg, self.messages.get(msg)?)));
         if let Some((msg, held)) = held {
             let req = &held.req;
             let open = self.journal.owed().get(&msg).and_then(|owed| owed.open.as_ref());
             return Place::Held {
                 held: Held { dest: req.dest, class: req.class, tenant: req.tenant, at: self.at(msg, held) },
-                tries: held.tries,
+                tries: held.attempts,
                 due: req.due,
                 backend: open.map(|(_, name)| name.clone()),
             };
         }
-        match self.ends.by_id.get(id) {
+        match self.recent_outcomes.by_id.get(id) {
             Some((how, at)) => Place::Ended { how: *how, at: *at },
             None if self.journal.knows(id, now) => Place::Recognised,
             None => Place::Unknown,
@@ -152,11 +152,11 @@
         if !state.decides() {
             return None;
         }
-        let held = |(msg, held): (&u64, &super::Msg)| {
+        let held = |(msg, held): (&u64, &super::PendingMessage)| {
             let (req, at) = (&held.req, state.at(*msg, held));
             Held { dest: req.dest, class: req.class, tenant: req.tenant, at }
         };
-        Some(state.msgs.iter().map(held).collect())
+        Some(state.messages.iter().map(held).collect())
     }
 }
 
--- a/src/core/attempt_log.rs
+++ b/src/core/attempt_log.rs
@@ -91,7 +91,7 @@
 impl Core {
     /// Whether an earlier process may have sent this message.
     fn sent_by_earlier_process(&self, fetch: &Fetch) -> bool {
-        self.msgs.get(&fetch.msg).is_some_and(|held| held.resumed_may_have_run)
+        self.messages.get(&fetch.msg).is_some_and(|held| held.resumed_may_have_run)
     }
 
     /// The first byte of an attempt is about to go.
@@ -144,8 +144,8 @@
 
     /// The end of a message is decided without delivery.
     pub(super) fn note_verdict(&self, msg: u64, verdict: Verdict) {
-        let Some(held) = self.msgs.get(&msg) else { return };
-        let (id, tries) = (&held.req.id, held.tries);
+        let Some(held) = self.messages.get(&msg) else { return };
+        let (id, tries) = (&held.req.id, held.attempts);
         if held.resumed_may_have_run {
             tracing::info!(target: "attempts", %id, tries, ?verdict, "its end is decided, of a message taken up");
         } else {
--- a/src/core/batches.rs
+++ b/src/core/batches.rs
@@ -103,8 +103,10 @@
         let batch = self.batches.next;
         let mut waits = 0;
         for fetch in &fetches {
-            if let Some(held) = self.msgs.get_mut(&fetch.msg).filter(|held| held.parked.is_some()) {
-                held.joins = Some(batch);
+            if let Some(held) =
+                self.messages.get_mut(&fetch.msg).filter(|held| held.orders_after_answer.is_some())
+            {
+                held.waiting_batch = Some(batch);
                 waits += 1;
             }
         }
@@ -132,7 +134,7 @@
 
     /// A message whose answer is not written leaves its batch; its fetch, which never began.
     pub(super) fn leave_batch(&mut self, msg: u64) -> Option<Fetch> {
-        let batch = self.msgs.get_mut(&msg)?.joins.take()?;
+        let batch = self.messages.get_mut(&msg)?.waiting_batch.take()?;
         let fetches = &mut self.batches.gathering.get_mut(&batch)?.fetches;
         let place = fetches.iter().position(|fetch| fetch.msg == msg);
         let fetch = place.map(|place| fetches.remove(place));
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -11,7 +11,7 @@
     pub(super) fn feed(&mut self, now: Micros, events: &[Event], asking: &mut [(u64, Option<Verdict>)]) {
         let (mut actions, mut never_sent, mut tries) = (Vec::new(), Vec::new(), Vec::new());
         self.look_at_desk(now);
-        self.sender.handle(now, events, &mut actions);
+        self.policy.handle(now, events, &mut actions);
         for action in actions {
             match action {
                 Action::Try { id, endpoint, timeout } => {
@@ -27,7 +27,7 @@
                 },
                 Action::SetTimer { after, .. } => {
                     let at = now + after;
-                    self.alarm_at = Some(self.alarm_at.map_or(at, |a| a.min(at)));
+                    self.next_timer_at = Some(self.next_timer_at.map_or(at, |a| a.min(at)));
                 }
                 Action::Follow | Action::Fetch => self.order(Order::Watch),
                 Action::LetGo(endpoint) => {
@@ -52,19 +52,19 @@
     fn fetch(&mut self, now: Micros, together: Vec<Try>) {
         let mut call = Vec::with_capacity(together.len());
         for Try { msg, at, cap } in together {
-            let (Some(held), Some(backend)) = (self.msgs.get_mut(&msg), self.backends.get(&at)) else {
+            let (Some(held), Some(backend)) = (self.messages.get_mut(&msg), self.backends.get(&at)) else {
                 continue;
             };
-            let (attempt, backend, req) = (held.tries, backend.clone(), held.req.clone());
-            held.tries = held.tries.wrapping_add(1);
-            held.out = true;
+            let (attempt, backend, req) = (held.attempts, backend.clone(), held.req.clone());
+            held.attempts = held.attempts.wrapping_add(1);
+            held.in_flight = true;
             let until = now;
             let goes = self.register.book(req.front, now).call(now, &backend.name, msg);
             let fetch = Fetch { msg, attempt, at, backend, req, until };
             if goes {
                 call.push((fetch, cap));
             } else {
-                self.in_line.insert(msg, (fetch, cap));
+                self.waiting_fetches.insert(msg, (fetch, cap));
             }
         }
         match call.len() {
@@ -99,8 +99,8 @@
 
     /// Goes by itself, at once or when its answer is written.
     fn go(&mut self, fetch: Fetch) {
-        let Some(held) = self.msgs.get_mut(&fetch.msg) else { return };
-        match &mut held.parked {
+        let Some(held) = self.messages.get_mut(&fetch.msg) else { return };
+        match &mut held.orders_after_answer {
             Some(parked) => parked.push(Order::Fetch(fetch)),
             None => self.order(Order::Fetch(fetch)),
         }
@@ -119,11 +119,11 @@
         }
         self.journal.verdict(msg, verdict);
         self.note_verdict(msg, verdict);
-        let Some(held) = self.msgs.get_mut(&msg) else { return };
-        held.over = true;
+        let Some(held) = self.messages.get_mut(&msg) else { return };
+        held.decided = true;
         let said = self.journal.owed().get(&msg).map(|o| o.said.clone()).unwrap_or_default();
         let notice = Notice { msg, req: held.req.clone(), verdict, said };
-        match &mut held.parked {
+        match &mut held.orders_after_answer {
             Some(parked) => parked.push(Order::Notice(notice)),
             None => self.tell(now, notice),
         }
@@ -131,7 +131,7 @@
 
     pub(super) fn order(&self, order: Order) {
         // The receiver lives in the same struct as this state; it cannot be gone.
-        let _ = self.out.send(order);
+        let _ = self.order_sender.send(order);
     }
 
     pub(super) fn forget(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
@@ -141,10 +141,10 @@
 
     /// The journal has its end.
     pub(super) fn forgotten(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
-        if let Some(held) = self.msgs.get(&msg) {
+        if let Some(held) = self.messages.get(&msg) {
             if let Some(ended) = ended {
                 self.figures.count(ended, held.req.class);
-                self.ends.ended(now, &held.req.id, ended);
+                self.recent_outcomes.ended(now, &held.req.id, ended);
             }
             self.draining.ended(now, &held.req);
         }
@@ -154,8 +154,8 @@
     pub(super) fn drop_msg(&mut self, msg: u64) {
         // Danger: a batch that waits for the answer to a message that is no more would never go.
         self.leave_batch(msg);
-        if let Some(held) = self.msgs.remove(&msg) {
-            self.by_id.remove(&held.req.id);
+        if let Some(held) = self.messages.remove(&msg) {
+            self.messages_by_id.remove(&held.req.id);
         }
     }
 }
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -1,7 +1,7 @@
 //! Drains at the core: what [`crate::drain`] decides is written down first, then holds for the messages that the core
 //! owns. All counts are taken from these messages when they are asked for.
 
-use super::{Core, Courier, LAST_BEGIN};
+use super::{Core, Courier, MIN_TIME_TO_BEGIN};
 use crate::api::{DestinationId, Effect, Event, MessageId, Micros};
 use crate::drain::estimate::{Ends, Estimate};
 use crate::drain::{self, Drain, Drains, History, Marks, Refusal, Stage, Started, Tally, TurnAway, Wish};
@@ -113,7 +113,7 @@
     }
 
     pub(super) fn may_begin(&self, now: Micros, req: &Req) -> bool {
-        self.own == Some(req.class) || self.drains.may_begin(now, &marks(req), LAST_BEGIN)
+        self.own == Some(req.class) || self.drains.may_begin(now, &marks(req), MIN_TIME_TO_BEGIN)
     }
 
     pub(super) fn next_at(&self) -> Option<Micros> {
@@ -167,8 +167,8 @@
             let Some(drain) = self.draining.drains.get(id).cloned() else { continue };
             let mut tally = Tally::default();
             let own = self.draining.own;
-            let open = |m: &super::Msg| !m.over && own != Some(m.req.class);
-            let found = self.msgs.iter().filter(|(msg, m)| {
+            let open = |m: &super::PendingMessage| !m.decided && own != Some(m.req.class);
+            let found = self.messages.iter().filter(|(msg, m)| {
                 // What is sent again is owed to nobody.
                 open(m) && !self.replays.is(**msg) && drain.scope.covers(&marks(&m.req))
             });
@@ -208,18 +208,18 @@
     fn progress(&mut self, now: Micros, drain: Drain) -> Progress {
         let (mut left, mut by_class, mut by_dest) = (Counts::default(), BTreeMap::new(), BTreeMap::new());
         let mut waits: BTreeMap<u16, Micros> = BTreeMap::new();
-        for (msg, held) in self.msgs.iter().filter(|(_, m)| drain.scope.covers(&marks(&m.req))) {
+        for (msg, held) in self.messages.iter().filter(|(_, m)| drain.scope.covers(&marks(&m.req))) {
             let req = &held.req;
             let told =
-                *waits.entry(req.dest).or_insert_with(|| self.sender.told_wait(DestinationId(req.dest)));
+                *waits.entry(req.dest).or_insert_with(|| self.policy.told_wait(DestinationId(req.dest)));
             for counts in
                 [&mut left, by_class.entry(req.class).or_default(), by_dest.entry(req.dest).or_default()]
             {
                 counts.total += 1;
                 *match held {
-                    m if m.parked.is_some() => &mut counts.answering,
-                    m if m.over => &mut counts.notice_owed,
-                    m if m.out && !self.in_line.contains_key(msg) => &mut counts.out,
+                    m if m.orders_after_answer.is_some() => &mut counts.answering,
+                    m if m.decided => &mut counts.notice_owed,
+                    m if m.in_flight && !self.waiting_fetches.contains_key(msg) => &mut counts.out,
                     _ if told > now => &mut counts.told_to_wait,
                     _ => &mut counts.waiting,
                 } += 1;
@@ -242,7 +242,7 @@
         let mut state = self.state();
         // What is due has struck, whoever looks first.
         state.strike(now, false);
-        let held = state.msgs.values().filter(|m| wish.scope.covers(&marks(&m.req))).count() as u64;
+        let held = state.messages.values().filter(|m| wish.scope.covers(&marks(&m.req))).count() as u64;
         let ending = state.stop_at.is_some() || !state.decides();
         let started = state.draining.change(|drains| drains.start(now, wish, ending, held))?;
         self.flag(&state);
--- a/src/core/ending.rs
+++ b/src/core/ending.rs
@@ -1,7 +1,7 @@
 //! How fetches begin and end: the last look before a first byte, and what an outcome means for all that is owed.
 
 use super::attempt_log::Withheld;
-use super::{returned, Core, End, Fetch, Over, Verdict, LAST_BEGIN};
+use super::{returned, Core, End, Fetch, FinishedFetch, Verdict, MIN_TIME_TO_BEGIN};
 use crate::admin::figures::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
 use crate::register::trust::{CallEnd, Heard};
@@ -50,10 +50,11 @@
     /// Why this fetch may not begin by all that is known now, if it may not.
     fn withheld(&mut self, now: Micros, fetch: &Fetch) -> Option<Withheld> {
         self.look_at_hand(now);
-        let alive = self.msgs.get(&fetch.msg).is_some_and(|m| !m.over);
-        let ends = self.stop_at.is_some_and(|at| now + LAST_BEGIN >= at);
+        let alive = self.messages.get(&fetch.msg).is_some_and(|m| !m.decided);
+        let ends = self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at);
         let listed = self.register.get(fetch.req.front).is_some_and(|b| b.serves(&fetch.backend.name));
-        let told_wait = self.waits.get(&(fetch.req.front, fetch.req.dest)).is_some_and(|until| now < *until);
+        let told_wait =
+            self.destination_waits.get(&(fetch.req.front, fetch.req.dest)).is_some_and(|until| now < *until);
         let conditions = [
             (Withheld::MessageOver, !alive),
             (Withheld::ProcessEnds, ends),
@@ -61,13 +62,13 @@
             (Withheld::NotListed, !listed),
             (Withheld::Drain, !self.draining.may_begin(now, &fetch.req)),
             (Withheld::ToldToWait, told_wait),
-            (Withheld::Policy, !self.sender.may_begin(now, MessageId(fetch.msg), fetch.at)),
+            (Withheld::Policy, !self.policy.may_begin(now, MessageId(fetch.msg), fetch.at)),
         ];
         conditions.into_iter().find(|(_, holds)| *holds).map(|(why, _)| why)
     }
 
     /// Fetches are over: written down together, and one round of the module on all of them, in their order.
-    pub(super) fn done(&mut self, now: Micros, all: Vec<Over>) {
+    pub(super) fn done(&mut self, now: Micros, all: Vec<FinishedFetch>) {
         if !self.decides() {
             return self.over_aside(all);
         }
@@ -86,15 +87,15 @@
     }
 
     pub(super) fn one_done(
-        &mut self, now: Micros, over: Over, events: &mut Vec<Event>, rejected: &mut Vec<u64>,
+        &mut self, now: Micros, over: FinishedFetch, events: &mut Vec<Event>, rejected: &mut Vec<u64>,
     ) {
         if self.replays.is(over.fetch.msg) {
             return self.replay_over(now, over, events);
         }
-        let Over { fetch, end, latency, load, said } = over;
+        let FinishedFetch { fetch, end, latency, load, said } = over;
         self.note_over(&fetch, end, latency);
-        if let Some(held) = self.msgs.get_mut(&fetch.msg) {
-            held.out = false;
+        if let Some(held) = self.messages.get_mut(&fetch.msg) {
+            held.in_flight = false;
         }
         if let End::TurnedAway(Some(wait)) | End::Spoilt(Some(wait)) = end {
             // Known from the head of the answer on, where its front tells of that.
@@ -102,7 +103,8 @@
         }
         let mut more = Vec::new();
         let heard = self.trust(now, &fetch, end.for_trust(), &mut more);
-        if matches!(end, End::Unsent | End::NotBegun) && self.stop_at.is_some_and(|at| now + LAST_BEGIN >= at)
+        if matches!(end, End::Unsent | End::NotBegun)
+            && self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at)
         {
             return; // the next life takes it up, with no attempt counted
         }
@@ -127,7 +129,7 @@
         match end {
             End::Delivered => self.finish(now, fetch.msg, Ended::Completed, How::Delivered, Some(&said)),
             End::Over => self.finish(now, fetch.msg, Ended::Failed, How::GivenUp, None),
-            End::Rejected if self.msgs.get(&fetch.msg).is_some_and(|m| !m.over) => {
+            End::Rejected if self.messages.get(&fetch.msg).is_some_and(|m| !m.decided) => {
                 rejected.push(fetch.msg);
             }
             _ => {}
@@ -151,9 +153,9 @@
 
     /// Takes a fetch out of the line in which it waits; the module hears that it was never sent.
     pub(super) fn leave_line(&mut self, msg: u64) -> Option<Event> {
-        let (fetch, _) = self.in_line.remove(&msg)?;
-        if let Some(held) = self.msgs.get_mut(&msg) {
-            held.out = false;
+        let (fetch, _) = self.waiting_fetches.remove(&msg)?;
+        if let Some(held) = self.messages.get_mut(&msg) {
+            held.in_flight = false;
             self.register.book(held.req.front, Micros(0)).call_off(&fetch.backend.name, msg);
         }
         let outcome = self.not_begun(msg);
@@ -162,8 +164,8 @@
 
     /// The latest attempt of this message is taken back: here, and in the module by the outcome.
     fn not_begun(&mut self, msg: u64) -> Outcome {
-        if let Some(held) = self.msgs.get_mut(&msg) {
-            held.tries = held.tries.wrapping_sub(1);
+        if let Some(held) = self.messages.get_mut(&msg) {
+            held.attempts = held.attempts.wrapping_sub(1);
         }
         Outcome::NotBegun
     }
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -2,8 +2,8 @@
 //! point, and then either goes on as if nothing had been, or has left and only tells how its last calls end. On the other
 //! side a core goes on with what was passed. Who may do what when is [`crate::upgrade::phase`]'s to say.
 
-use super::{Answer, End, Msg, Notice, Report};
-use super::{Backend, Core, Courier, Fetch, Order, Over};
+use super::{Answer, End, Notice, PendingMessage, Report};
+use super::{Backend, Core, Courier, Fetch, FinishedFetch, Order};
 use crate::api::{Carried, EndpointId, Event, MessageId, Micros};
 use crate::register::kept::Edition;
 use crossbeam_channel::Sender;
@@ -43,7 +43,7 @@
 /// What happened while the core was frozen.
 pub(super) enum Later {
     Report(Report),
-    Over(Vec<Over>),
+    Over(Vec<FinishedFetch>),
     Probed(Event),
 }
 
@@ -65,12 +65,12 @@
     /// Nothing begins and nothing is decided from here on.
     fn freeze(&mut self) -> Passed {
         self.mode = Mode::Frozen(Vec::new());
-        self.shares.pause();
-        let names = self.names.iter().map(|((front, name), at)| (*front, name.clone(), *at)).collect();
+        self.sharing_state.pause();
+        let names = self.endpoint_ids.iter().map(|((front, name), at)| (*front, name.clone(), *at)).collect();
         Passed {
             names,
-            next_name: self.next_name,
-            module: self.sender.carry(),
+            next_name: self.next_endpoint_number,
+            module: self.policy.carry(),
             lists: self.register.editions(),
             answering: BTreeSet::new(),
         }
@@ -79,7 +79,7 @@
     /// As if nothing had been; what waited is taken in.
     fn thaw(&mut self, now: Micros) {
         let Mode::Frozen(waited) = std::mem::replace(&mut self.mode, Mode::Decides) else { return };
-        self.shares.go_on();
+        self.sharing_state.go_on();
         for later in waited {
             match later {
                 Later::Report(what) => drop(self.report(now, what)),
@@ -91,13 +91,13 @@
 
     /// Another process owns the journal from here on.
     fn leave(&mut self, to: Sender<CallOver>) {
-        let begun = |(msg, m): &(&u64, &Msg)| {
-            m.out && self.journal.owed().get(*msg).is_some_and(|o| o.open.is_some())
+        let begun = |(msg, m): &(&u64, &PendingMessage)| {
+            m.in_flight && self.journal.owed().get(*msg).is_some_and(|o| o.open.is_some())
         };
-        let out = self.msgs.iter().filter(begun).count();
+        let out = self.messages.iter().filter(begun).count();
         let left = Mode::Left { to: Some(to).filter(|_| out > 0), out };
         let Mode::Frozen(waited) = std::mem::replace(&mut self.mode, left) else { return };
-        self.past = None;
+        self.history = None;
         self.replays.end();
         for later in waited {
             if let Later::Over(all) = later {
@@ -112,7 +112,7 @@
             Report::Begin(_) => return Answer::Go(false),
             Report::Req(_) => return Answer::Refused(self.stay_away()),
             Report::Done { fetch, end, latency, load, said } => {
-                self.over_aside(vec![Over { fetch, end, latency, load, said }]);
+                self.over_aside(vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
             what => {
                 if let Mode::Frozen(waited) = &mut self.mode {
@@ -123,7 +123,7 @@
         Answer::Noted
     }
 
-    pub(super) fn over_aside(&mut self, all: Vec<Over>) {
+    pub(super) fn over_aside(&mut self, all: Vec<FinishedFetch>) {
         match &mut self.mode {
             Mode::Frozen(waited) => waited.push(Later::Over(all)),
             _ => self.tell_over(all),
@@ -131,11 +131,11 @@
     }
 
     /// A call that had begun is told; of one that had not the other process has never heard.
-    fn tell_over(&mut self, all: Vec<Over>) {
+    fn tell_over(&mut self, all: Vec<FinishedFetch>) {
         let Mode::Left { to, out } = &mut self.mode else { return };
-        for Over { fetch, end, latency, load, said } in all {
+        for FinishedFetch { fetch, end, latency, load, said } in all {
             let begun = self.journal.owed().get(&fetch.msg).is_some_and(|owed| owed.open.is_some());
-            if begun && self.msgs.get_mut(&fetch.msg).is_some_and(|m| std::mem::take(&mut m.out)) {
+            if begun && self.messages.get_mut(&fetch.msg).is_some_and(|m| std::mem::take(&mut m.in_flight)) {
                 // An error says that the other process is gone; the journal says what may have run.
                 let over = CallOver { msg: fetch.msg, end, latency, load, said };
                 let _ = to.as_ref().map(|to| to.send(over));
@@ -149,11 +149,11 @@
 
     /// Goes on with what another process passed.
     pub(super) fn go_on_with(&mut self, passed: &mut Passed) {
-        self.next_name = self.next_name.max(passed.next_name);
+        self.next_endpoint_number = self.next_endpoint_number.max(passed.next_name);
         for (front, name, at) in passed.names.drain(..) {
-            self.names.insert((front, name), at);
+            self.endpoint_ids.insert((front, name), at);
         }
-        self.sender.go_on_with(std::mem::take(&mut passed.module));
+        self.policy.go_on_with(std::mem::take(&mut passed.module));
     }
 
     /// Takes up what the journal says is owed. Calls that it calls open are still out in the process that handed over.
@@ -165,31 +165,31 @@
                 self.figures.attempts.resumed(now, &owed);
             }
             let req = owed.req;
-            self.by_id.insert(req.id.clone(), id);
+            self.messages_by_id.insert(req.id.clone(), id);
             let over = owed.verdict.is_some();
             let answering = passed.is_some_and(|p| p.answering.contains(&id));
-            let msg = Msg {
+            let msg = PendingMessage {
                 req: req.clone(),
-                tries: owed.tries as u8,
-                parked: answering.then(Vec::new),
-                over,
-                shared: false,
+                attempts: owed.tries as u8,
+                orders_after_answer: answering.then(Vec::new),
+                decided: over,
+                accepted_from_other_client: false,
                 resumed_may_have_run: owed.risk.is_some() || owed.open.is_some(),
-                out: false,
-                joins: None,
+                in_flight: false,
+                waiting_batch: None,
             };
-            let held = self.msgs.entry(id).or_insert(msg);
+            let held = self.messages.entry(id).or_insert(msg);
             if let Some(verdict) = owed.verdict {
                 let notice = Order::Notice(Notice { msg: id, req, verdict, said: owed.said });
-                match &mut held.parked {
+                match &mut held.orders_after_answer {
                     Some(parked) => parked.push(notice),
-                    None => drop(self.out.send(notice)),
+                    None => drop(self.order_sender.send(notice)),
                 }
                 continue;
             }
             match owed.open {
                 Some((sent, name)) => {
-                    held.out = true;
+                    held.in_flight = true;
                     let risk = owed.risk.map(|(at, name)| (at, self.intern(req.front, &name)));
                     let at = self.intern(req.front, &name);
                     events.push(Event::Resumed {
@@ -203,7 +203,7 @@
                     let backend =
                         Arc::new(Backend { name, addr: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)) });
                     let until = req.due;
-                    self.away.insert(id, Fetch { msg: id, attempt, at, backend, req, until });
+                    self.predecessor_fetches.insert(id, Fetch { msg: id, attempt, at, backend, req, until });
                 }
                 None => {
                     let risk = owed.risk.map(|(at, name)| (at, self.intern(req.front, &name)));
@@ -246,13 +246,13 @@
     /// A call that another process carried out is over.
     pub fn call_over(&self, over: CallOver) {
         let CallOver { msg, end, latency, load, said } = over;
-        let Some(fetch) = self.state().away.remove(&msg) else { return };
+        let Some(fetch) = self.state().predecessor_fetches.remove(&msg) else { return };
         self.report(Report::Done { fetch, end, latency, load, said });
     }
 
     /// The other process is gone: what it had out may have run, and nobody will say so.
     pub fn calls_lost(&self) -> usize {
-        let lost: Vec<Fetch> = std::mem::take(&mut self.state().away).into_values().collect();
+        let lost: Vec<Fetch> = std::mem::take(&mut self.state().predecessor_fetches).into_values().collect();
         let count = lost.len();
         for fetch in lost {
             let (latency, load, said) = (Micros(0), Vec::new(), String::new());
--- a/src/core/keeping.rs
+++ b/src/core/keeping.rs
@@ -36,8 +36,8 @@
             let mark = keeper.take_up(now, self.journal.owed().keys().copied(), &ends);
             self.journal.ends_from(mark);
             let ended = ends.iter().map(|end| end.msg + 1).max().unwrap_or(0);
-            self.next_msg = self.next_msg.max(keeper.next_number()).max(ended);
-            self.past = Some(Keeping { shelf: Arc::new(Shelf::new(keeper)), upto: 0, gives_way: false });
+            self.next_message = self.next_message.max(keeper.next_number()).max(ended);
+            self.history = Some(Keeping { shelf: Arc::new(Shelf::new(keeper)), upto: 0, gives_way: false });
         }
         let last = self.journal.last_end();
         self.journal.kept(last);
@@ -45,8 +45,8 @@
 
     /// A message has ended, and its client knows or need not be told.
     pub(super) fn finish(&mut self, now: Micros, msg: u64, ended: Ended, how: How, said: Option<&str>) {
-        let Some(past) = self.past.as_mut().filter(|past| !past.shelf.closed()) else {
-            let past = self.past.as_ref().filter(|_| self.journal.owed().contains_key(&msg));
+        let Some(past) = self.history.as_mut().filter(|past| !past.shelf.closed()) else {
+            let past = self.history.as_ref().filter(|_| self.journal.owed().contains_key(&msg));
             past.into_iter().for_each(|past| past.shelf.give_way());
             return self.forget(now, msg, Some(ended));
         };
@@ -63,7 +63,7 @@
 
     /// Lays down what the journal has written that it has ended.
     pub(super) fn lay_down(&mut self) {
-        let Some(past) = self.past.as_ref().filter(|_| !self.journal.behind()) else { return };
+        let Some(past) = self.history.as_ref().filter(|_| !self.journal.behind()) else { return };
         let ends = self.journal.ended();
         if !ends.is_empty() {
             past.shelf.lay(ends);
@@ -72,7 +72,7 @@
 
     /// The journal lets go of what is put away.
     pub(super) fn hear_kept(&mut self) {
-        let Some(past) = &mut self.past else { return };
+        let Some(past) = &mut self.history else { return };
         let upto = past.shelf.upto();
         if upto > past.upto {
             past.upto = upto;
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -1,6 +1,6 @@
 //! What the register says reaches the module and the fronts; names of backends, and those left out by hand.
 
-use super::{returned, Backend, Core, ListState, Order, FIRST_FRONT};
+use super::{returned, Backend, Core, ListState, Order, PLATFORM_FRONT};
 use crate::api::{DestinationId, EndpointId, Entry, Event, KindId, Listed, Micros, Outcome, ZoneId};
 use crate::register::trust::CallEnd;
 use crate::register::{Change, News};
@@ -14,19 +14,23 @@
     pub(super) fn count_members(&mut self) {
         let (mut members, mut unavailable) = (0, 0);
         for (front, name, out) in self.register.members() {
-            let endpoint = self.names.get(&(front, name.to_owned()));
+            let endpoint = self.endpoint_ids.get(&(front, name.to_owned()));
             members += 1;
-            unavailable += u64::from(out || endpoint.is_some_and(|at| self.sender.avoids(*at)));
+            unavailable += u64::from(out || endpoint.is_some_and(|at| self.policy.avoids(*at)));
         }
-        let ready = self.register.get(FIRST_FRONT).is_none_or(|book| book.ready(self.members_at));
+        let ready =
+            self.register.get(PLATFORM_FRONT).is_none_or(|book| book.ready(self.next_member_count_at));
         (self.figures.members, self.figures.unavailable, self.figures.ready) = (members, unavailable, ready);
     }
 
     /// Takes over what the operators have left out or put back since the last look.
     pub(super) fn look_at_hand(&mut self, now: Micros) {
-        let Some(hand) = self.hand.clone().filter(|hand| hand.version() != self.hand_seen) else { return };
+        let Some(hand) = self.overrides.clone().filter(|hand| hand.version() != self.overrides_version)
+        else {
+            return;
+        };
         // Danger: read before the set, so that a change in between is looked at once more and never missed.
-        self.hand_seen = hand.version();
+        self.overrides_version = hand.version();
         for (front, back, news) in self.register.left_out(now, hand.out()) {
             let back = back.iter().map(|name| Event::Restarted(self.intern(front, name))).collect();
             self.listed(now, front, news, back);
@@ -36,9 +40,9 @@
 
     /// The module's name for a backend. Its address may differ from courier to courier and change.
     pub(super) fn intern(&mut self, front: u8, name: &str) -> EndpointId {
-        let next = EndpointId { addr: self.next_name.to_be_bytes(), port: 0 };
-        *self.names.entry((front, name.to_owned())).or_insert_with(|| {
-            self.next_name += 1;
+        let next = EndpointId { addr: self.next_endpoint_number.to_be_bytes(), port: 0 };
+        *self.endpoint_ids.entry((front, name.to_owned())).or_insert_with(|| {
+            self.next_endpoint_number += 1;
             next
         })
     }
@@ -74,7 +78,7 @@
             self.batches.listed(endpoint, line.kind);
             let listed = Arc::new(Backend { name: key.1, addr: line.addr });
             if line.state == ListState::Gone {
-                self.gone.push_back((now, front, listed.clone()));
+                self.removed_backends.push_back((now, front, listed.clone()));
             }
             // Nothing new goes to a connection of one that drains, is gone or has moved.
             let before = self.backends.insert(endpoint, listed.clone()).filter(|b| *b != listed);
@@ -88,8 +92,8 @@
         let mut events: Vec<Event> =
             news.returned.into_iter().filter_map(|msg| self.leave_line(msg)).collect();
         for msg in news.released {
-            let Some((fetch, cap)) = self.in_line.remove(&msg) else { continue };
-            if self.msgs.contains_key(&msg) {
+            let Some((fetch, cap)) = self.waiting_fetches.remove(&msg) else { continue };
+            if self.messages.contains_key(&msg) {
                 self.start(now, fetch, cap);
             } else {
                 // Danger: a call whose message has ended meanwhile would hold its slot for ever.
@@ -105,14 +109,16 @@
 
     /// Danger: where backends come and go all day, their names alone fill memory in the end.
     pub(super) fn forget_gone(&mut self, now: Micros) {
-        let over =
-            |s: &Core| s.gone.len() > GONE_MOST || s.gone.front().is_some_and(|g| g.0 + GONE_KEPT <= now);
+        let over = |s: &Core| {
+            s.removed_backends.len() > GONE_MOST
+                || s.removed_backends.front().is_some_and(|g| g.0 + GONE_KEPT <= now)
+        };
         while over(self) {
-            let Some((_, front, backend)) = self.gone.pop_front() else { return };
+            let Some((_, front, backend)) = self.removed_backends.pop_front() else { return };
             let key = (front, backend.name.clone());
             // It may have come back.
             if !self.register.get(front).is_some_and(|b| b.lists(&key.1)) {
-                if let Some(endpoint) = self.names.remove(&key) {
+                if let Some(endpoint) = self.endpoint_ids.remove(&key) {
                     self.backends.remove(&endpoint);
                     self.batches.forget(endpoint);
                 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -52,24 +52,24 @@
     /// For the register.
     pub register: RegisterRules,
     /// Where drains are written down; `None`: none can be asked for.
-    pub drains: Option<PathBuf>,
+    pub drain_dir: Option<PathBuf>,
     /// The class of what the courier hands in itself to tell an end, as bounces are: a drain lets it in and does not end
     /// it, else an end would go untold.
     pub own_class: Option<u16>,
     /// Endpoints that are left out by hand; `None`: none can be.
-    pub hand: Option<Arc<Hand>>,
+    pub overrides: Option<Arc<Hand>>,
     /// What the process passed that served until now.
-    pub passed: Option<Passed>,
+    pub handed_over: Option<Passed>,
     /// Where what the next life must know is written down; `None`: nowhere.
-    pub memory: Option<PathBuf>,
+    pub memory_dir: Option<PathBuf>,
     /// How messages ended is remembered, for questions.
-    pub ends: bool,
+    pub record_outcomes: bool,
     /// Where ended messages are kept; `None`: nowhere.
     pub history: Option<Keeper>,
 }
 
 /// A fetch that is over.
-struct Over {
+struct FinishedFetch {
     fetch: Fetch,
     end: End,
     latency: Micros,
@@ -77,79 +77,79 @@
     said: String,
 }
 
-struct Msg {
+struct PendingMessage {
     req: Arc<Req>,
-    tries: u8,
+    attempts: u8,
     /// Orders that wait for the req's answer to be written. Danger: a fetch that began first would deliver a
     /// message that its client has not heard of.
-    parked: Option<Vec<Order>>,
+    orders_after_answer: Option<Vec<Order>>,
     /// What began it was over before: only a notice or an outcome is still due.
-    over: bool,
+    decided: bool,
     /// Somebody else who handed it in was told that it is taken on.
-    shared: bool,
+    accepted_from_other_client: bool,
     /// A call is ordered, out, or waits for its turn.
-    out: bool,
+    in_flight: bool,
     /// An earlier process may have sent it.
     resumed_may_have_run: bool,
     /// The batch that waits for this one's answer to be written.
-    joins: Option<u64>,
+    waiting_batch: Option<u64>,
 }
 
 /// The one owner of all that is decided: the module, the journal, the register, the messages owed. It reads no clock and
 /// waits for nothing; whoever drives it says what time it is and carries out its orders. [`Courier`] shares one among
 /// threads; an emulator drives as many as it likes in a time of its own.
 pub struct Core {
-    sender: Box<dyn Decide>,
+    policy: Box<dyn Decide>,
     journal: Journal,
-    out: crossbeam_channel::Sender<Order>,
-    msgs: BTreeMap<u64, Msg>,
-    by_id: HashMap<String, u64>,
-    next_msg: u64,
-    max_open: usize,
+    order_sender: crossbeam_channel::Sender<Order>,
+    messages: BTreeMap<u64, PendingMessage>,
+    messages_by_id: HashMap<String, u64>,
+    next_message: u64,
+    max_pending: usize,
     backends: BTreeMap<EndpointId, Arc<Backend>>,
-    names: HashMap<(u8, String), EndpointId>,
-    next_name: u32,
+    endpoint_ids: HashMap<(u8, String), EndpointId>,
+    next_endpoint_number: u32,
     /// Backends that have gone, and when: forgotten once no message remembers them.
-    gone: VecDeque<(Micros, u8, Arc<Backend>)>,
+    removed_backends: VecDeque<(Micros, u8, Arc<Backend>)>,
     /// Which backends are listed, by whom, and how far they are trusted.
     register: Register,
     batches: Batches,
     /// Fetches that wait for their turn at a backend that is not fully trusted, with their time-outs.
-    in_line: BTreeMap<u64, (Fetch, Micros)>,
+    waiting_fetches: BTreeMap<u64, (Fetch, Micros)>,
     draining: Draining,
     neighbours: Neighbours,
-    shares: sharing::Shares,
+    sharing_state: sharing::Shares,
     mode: Mode,
     /// Until when a destination is to be left alone by answers that are not read to their end yet. The module hears of a
     /// wait with the whole answer; by then this is over or repeats it.
-    waits: Waits,
-    remembers: Remembers,
+    destination_waits: Waits,
+    memory_file: Remembers,
     /// Ended messages; `None`: they are not kept.
-    past: Option<keeping::Keeping>,
+    history: Option<keeping::Keeping>,
     /// What of them is being sent again.
     replays: Replays,
     /// Calls that the process before carries out to their end.
-    away: BTreeMap<u64, Fetch>,
-    hand: Option<Arc<Hand>>,
+    predecessor_fetches: BTreeMap<u64, Fetch>,
+    overrides: Option<Arc<Hand>>,
     /// The version of it that holds here.
-    hand_seen: u64,
+    overrides_version: u64,
     figures: Figures,
-    ends: asked::Ends,
-    members_at: Micros,
-    alarm_at: Option<Micros>,
+    recent_outcomes: asked::Ends,
+    next_member_count_at: Micros,
+    next_timer_at: Option<Micros>,
     stop_at: Option<Micros>,
-    recording: recording::Recording,
+    journal_outage: recording::Recording,
 }
 
-const TICK_US: u64 = 5_000;
+const TICK_INTERVAL_US: u64 = 5_000;
 /// Endpoints are counted again so often, though nothing was told of them: the module may avoid another.
-const MEMBERS_EVERY: Micros = Micros(100_000);
+const MEMBER_COUNT_INTERVAL: Micros = Micros(100_000);
 /// The front whose list says whether the instance calls itself ready.
-const FIRST_FRONT: u8 = 0;
+const PLATFORM_FRONT: u8 = 0;
 /// A fetch that begins this shortly before the end would be cut off.
-const LAST_BEGIN: Micros = Micros(700_000);
+const MIN_TIME_TO_BEGIN: Micros = Micros(700_000);
 /// How long a client is told to stay away where the module has said nothing.
-const STAY_AWAY: Micros = Micros(1_000_000);
+const DEFAULT_RETRY_AFTER: Micros = Micros(1_000_000);
 
 impl Core {
     /// A core that decides by the module, and its orders. What the journal says is owed is taken up.
@@ -167,47 +167,47 @@
     ) -> (Core, Receiver<Order>) {
         let effects = settings.classes.iter().map(|c| c.effect).collect();
         let longest = settings.limits.max_retry_after;
-        let draining = Draining::new(options.drains.as_deref(), effects, longest, options.own_class);
+        let draining = Draining::new(options.drain_dir.as_deref(), effects, longest, options.own_class);
         let (out, orders) = crossbeam_channel::unbounded();
         let next_msg = journal.owed().keys().next_back().map_or(0, |m| m + 1).max(now.0);
         let batches = Batches::new(settings.kinds.iter().map(|k| k.bundle_max).collect());
         let max_open = settings.limits.max_open.map_or(usize::MAX, |m| m as usize);
         let mut core = Core {
-            sender,
+            policy: sender,
             journal,
-            out,
-            msgs: BTreeMap::new(),
-            by_id: HashMap::new(),
-            next_msg,
-            max_open,
+            order_sender: out,
+            messages: BTreeMap::new(),
+            messages_by_id: HashMap::new(),
+            next_message: next_msg,
+            max_pending: max_open,
             backends: BTreeMap::new(),
-            names: HashMap::new(),
-            next_name: 1,
-            gone: VecDeque::new(),
+            endpoint_ids: HashMap::new(),
+            next_endpoint_number: 1,
+            removed_backends: VecDeque::new(),
             register: Register::new(options.register, seed),
             batches,
-            in_line: BTreeMap::new(),
+            waiting_fetches: BTreeMap::new(),
             draining,
             neighbours: Neighbours::new(settings.limits.probes, settings.limits.notes),
-            shares: sharing::Shares::default(),
+            sharing_state: sharing::Shares::default(),
             mode: Mode::Decides,
-            waits: Waits::new(),
-            remembers: Remembers::new(options.memory),
-            past: None,
+            destination_waits: Waits::new(),
+            memory_file: Remembers::new(options.memory_dir),
+            history: None,
             replays: Replays::new(settings),
-            away: BTreeMap::new(),
-            hand: options.hand,
-            hand_seen: 0,
+            predecessor_fetches: BTreeMap::new(),
+            overrides: options.overrides,
+            overrides_version: 0,
             figures: Figures::default(),
-            ends: asked::Ends::new(options.ends),
-            members_at: Micros(0),
-            alarm_at: None,
+            recent_outcomes: asked::Ends::new(options.record_outcomes),
+            next_member_count_at: Micros(0),
+            next_timer_at: None,
             stop_at: None,
-            recording: recording::Recording::default(),
+            journal_outage: recording::Recording::default(),
         };
         core.take_up_history(now, options.history);
         core.look_at_hand(now);
-        let mut passed = options.passed;
+        let mut passed = options.handed_over;
         passed.iter_mut().for_each(|passed| core.go_on_with(passed));
         core.recall(now, passed.is_some());
         core.resume(now, passed.as_ref());
@@ -231,12 +231,12 @@
     /// Moves time; says when it wants to be called again at the latest.
     pub fn tick(&mut self, now: Micros) -> Micros {
         if !self.decides() {
-            return now + Micros(TICK_US);
+            return now + Micros(TICK_INTERVAL_US);
         }
         self.look_at_hand(now);
         self.look_at_desk(now);
-        if self.members_at <= now {
-            self.members_at = now + MEMBERS_EVERY;
+        if self.next_member_count_at <= now {
+            self.next_member_count_at = now + MEMBER_COUNT_INTERVAL;
             self.count_members();
         }
         for (front, news) in self.register.tick(now) {
@@ -249,18 +249,18 @@
         self.keep_recording(now);
         self.hear_kept();
         self.replay(now);
-        if self.alarm_at.is_some_and(|at| at <= now) {
-            self.alarm_at = None;
+        if self.next_timer_at.is_some_and(|at| at <= now) {
+            self.next_timer_at = None;
             self.feed(now, &[Event::Elapsed(TimerToken(0))], &mut []);
         }
-        let soon = now + Micros(TICK_US);
-        self.alarm_at.map_or(soon, |at| at.min(soon))
+        let soon = now + Micros(TICK_INTERVAL_US);
+        self.next_timer_at.map_or(soon, |at| at.min(soon))
     }
 
     /// When the module wants to hear of time again, if at all: an emulator need not call [`Core::tick`] before that but for
     /// the register and drains.
     pub fn alarm_at(&self) -> Option<Micros> {
-        self.alarm_at
+        self.next_timer_at
     }
 
     /// As [`Courier::stop`].
@@ -270,12 +270,12 @@
 
     /// How many messages are owed their end.
     pub fn owed(&self) -> usize {
-        self.msgs.len()
+        self.messages.len()
     }
 
     /// What became of messages, and how things stand.
     pub fn figures(&mut self) -> &Figures {
-        self.figures.pending = self.msgs.len().saturating_sub(self.replays.out()) as u64;
+        self.figures.pending = self.messages.len().saturating_sub(self.replays.out()) as u64;
         &self.figures
     }
 
@@ -291,12 +291,15 @@
             }
             // Danger: a client that goes before its answer takes the message of another with it, who handed in the same
             // and was told that it is taken on.
-            Report::Withdrawn(msg) if !self.msgs.get(&msg).is_some_and(|m| m.shared) => {
+            Report::Withdrawn(msg)
+                if !self.messages.get(&msg).is_some_and(|m| m.accepted_from_other_client) =>
+            {
                 self.withdrawn(now, msg)
             }
             Report::Answered(msg) | Report::Withdrawn(msg) => {
-                let held = self.msgs.get_mut(&msg);
-                let (parked, joins) = held.map_or((None, None), |m| (m.parked.take(), m.joins.take()));
+                let held = self.messages.get_mut(&msg);
+                let (parked, joins) =
+                    held.map_or((None, None), |m| (m.orders_after_answer.take(), m.waiting_batch.take()));
                 for order in parked.into_iter().flatten() {
                     match order {
                         Order::Notice(notice) => self.tell(now, notice),
@@ -311,7 +314,7 @@
                 self.remember(now);
             }
             Report::Done { fetch, end, latency, load, said } => {
-                self.done(now, vec![Over { fetch, end, latency, load, said }]);
+                self.done(now, vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
             Report::Told(msg) => {
                 let (ended, how) = match self.journal.owed().get(&msg).and_then(|owed| owed.verdict) {
@@ -322,7 +325,7 @@
                 self.lay_down();
             }
             Report::List { front, word } => {
-                if let Some(hand) = &self.hand {
+                if let Some(hand) = &self.overrides {
                     hand.listed(word.lines.iter().map(|line| line.name.as_str()));
                 }
                 // Discovery has answered, if only that nothing has changed: the module hears that too.
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -2,7 +2,7 @@
 //! that this courier gave it; outside it goes by its name in the list, the same at every courier.
 
 use super::handover::{Later, Mode};
-use super::{Backend, Core, Courier, Order, FIRST_FRONT, LAST_BEGIN};
+use super::{Backend, Core, Courier, Order, MIN_TIME_TO_BEGIN, PLATFORM_FRONT};
 use crate::api::{DestinationId, EndpointId, Event, Micros, Outcome, PeerId};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -55,14 +55,14 @@
     /// The name behind one of the module's numbers, if the platform's list has it. Who brings mail to other firms speaks
     /// another protocol there, and his neighbours are none of ours.
     fn name_of(&self, at: EndpointId) -> Option<String> {
-        let mut all = self.names.iter();
-        all.find(|((front, _), id)| *front == FIRST_FRONT && **id == at).map(|((_, name), _)| name.clone())
+        let mut all = self.endpoint_ids.iter();
+        all.find(|((front, _), id)| *front == PLATFORM_FRONT && **id == at).map(|((_, name), _)| name.clone())
     }
 
     /// The module asks for a probe. What can't be ordered ends at once, by an event that is returned. Danger: an endpoint
     /// counts as half open until its probe ends, and gets nothing meanwhile.
     pub(super) fn probe(&mut self, now: Micros, at: EndpointId) -> Option<Event> {
-        let to = self.name_of(at).and_then(|name| self.register.get(FIRST_FRONT)?.dest_of(&name));
+        let to = self.name_of(at).and_then(|name| self.register.get(PLATFORM_FRONT)?.dest_of(&name));
         let (Some(dest), Some(backend), true) = (to, self.backends.get(&at).cloned(), self.neighbours.probes)
         else {
             return Some(probed(at, Outcome::Moot, Micros(0), Vec::new()));
@@ -88,10 +88,11 @@
             return false;
         }
         self.look_at_hand(now);
-        let listed = self.register.get(FIRST_FRONT).is_some_and(|b| b.serves(&probe.backend.name));
+        let listed = self.register.get(PLATFORM_FRONT).is_some_and(|b| b.serves(&probe.backend.name));
         let same = self.backends.get(&probe.at).is_some_and(|b| *b == probe.backend);
-        let told_wait = self.waits.get(&(FIRST_FRONT, probe.dest)).is_some_and(|until| now < *until);
-        let ends = self.stop_at.is_some_and(|at| now + LAST_BEGIN >= at);
+        let told_wait =
+            self.destination_waits.get(&(PLATFORM_FRONT, probe.dest)).is_some_and(|until| now < *until);
+        let ends = self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at);
         listed && same && !told_wait && !ends && self.neighbours.out.contains(&probe.at)
     }
 
@@ -107,8 +108,8 @@
         if let Outcome::Full(Some(wait)) = outcome {
             // Danger: the module hears no wait in the outcome of a probe. Calls that it went on to order would be stopped
             // just before their first byte, one after the other, until their messages had no attempt left.
-            self.heard_wait(now, FIRST_FRONT, probe.dest, wait);
-            self.sender.told_before(DestinationId(probe.dest), now + wait);
+            self.heard_wait(now, PLATFORM_FRONT, probe.dest, wait);
+            self.policy.told_before(DestinationId(probe.dest), now + wait);
             self.remember(now);
         }
         self.probe_over(now, event);
@@ -124,8 +125,9 @@
     /// As [`Courier::noted`].
     pub fn noted(&mut self, now: Micros, from: PeerId, note: &Note) -> bool {
         let Note::Back(name) = note;
-        let listed = self.register.get(FIRST_FRONT).is_some_and(|b| b.lists(name));
-        let Some(at) = self.names.get(&(FIRST_FRONT, name.clone())).copied().filter(|_| listed) else {
+        let listed = self.register.get(PLATFORM_FRONT).is_some_and(|b| b.lists(name));
+        let Some(at) = self.endpoint_ids.get(&(PLATFORM_FRONT, name.clone())).copied().filter(|_| listed)
+        else {
             return false;
         };
         if !self.neighbours.notes || !self.decides() {
--- a/src/core/ordering.rs
+++ b/src/core/ordering.rs
@@ -191,7 +191,7 @@
         self.past.as_ref()?.wait(|keeper| {
             let mut state = self.state();
             let now = self.clock.now();
-            state.past.as_ref()?;
+            state.history.as_ref()?;
             by(&mut state, keeper, now)
         })?
     }
--- a/src/core/recording.rs
+++ b/src/core/recording.rs
@@ -24,7 +24,7 @@
     /// is told all the same.
     pub(super) fn tell(&mut self, now: Micros, notice: Notice) {
         if self.journal.behind() && now < notice.req.due {
-            self.recording.untold.push(notice);
+            self.journal_outage.untold.push(notice);
         } else {
             self.order(Order::Notice(notice));
         }
@@ -32,13 +32,13 @@
 
     /// Tries to write what the journal could not write, and tells the ends that waited for it.
     pub(super) fn keep_recording(&mut self, now: Micros) {
-        if self.journal.failing() && now >= self.recording.retry_at {
-            self.recording.retry_at = now + RETRY;
+        if self.journal.failing() && now >= self.journal_outage.retry_at {
+            self.journal_outage.retry_at = now + RETRY;
             // After an error the next try does it.
             let _ = self.journal.catch_up();
         }
         let failing = self.journal.failing() || !self.journal.failure().is_empty();
-        match (std::mem::replace(&mut self.recording.was_failing, failing), failing) {
+        match (std::mem::replace(&mut self.journal_outage.was_failing, failing), failing) {
             (false, true) => {
                 let why = self.journal.failure();
                 tracing::error!(target: "journal", "it can't be written, and nothing is taken on until it can: {why}");
@@ -49,7 +49,7 @@
             }
             _ => {}
         }
-        for notice in std::mem::take(&mut self.recording.untold) {
+        for notice in std::mem::take(&mut self.journal_outage.untold) {
             self.tell(now, notice);
         }
     }
@@ -60,7 +60,7 @@
     pub fn recorded(&self) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
-        state.recording.retry_at = now;
+        state.journal_outage.retry_at = now;
         state.keep_recording(now);
         !state.journal.behind()
     }
--- a/src/core/remember.rs
+++ b/src/core/remember.rs
@@ -49,26 +49,26 @@
 impl Core {
     /// Goes on with what an earlier life wrote down.
     pub(super) fn recall(&mut self, now: Micros, taken_over: bool) {
-        self.remembers.began_at = now;
-        self.remembers.idle = true;
-        let Some(dir) = &self.remembers.dir else { return };
+        self.memory_file.began_at = now;
+        self.memory_file.idle = true;
+        let Some(dir) = &self.memory_file.dir else { return };
         let (waits, demand, outages) = read(dir, now);
-        (self.waits, self.remembers.began_with) = (waits, demand);
+        (self.destination_waits, self.memory_file.began_with) = (waits, demand);
         if !taken_over {
             self.recall_outages(outages);
         }
         // Danger: who takes over from a process that serves was not away, and knows its paces.
-        let demand = self.remembers.began_with.iter().filter(|_| !taken_over);
+        let demand = self.memory_file.began_with.iter().filter(|_| !taken_over);
         let mut paced = 0;
         for (dest, per_s) in demand {
-            self.sender.first_pace(DestinationId(*dest), first_pace(*per_s));
+            self.policy.first_pace(DestinationId(*dest), first_pace(*per_s));
             paced += 1;
         }
         if paced > 0 {
             tracing::info!(target: "comeback", destinations = paced, "begins by the demand of an earlier life");
         }
-        for ((_, dest), until) in &self.waits {
-            self.sender.told_before(DestinationId(*dest), *until);
+        for ((_, dest), until) in &self.destination_waits {
+            self.policy.told_before(DestinationId(*dest), *until);
         }
     }
 
@@ -78,17 +78,17 @@
             tracing::info!(target: "comeback", endpoints = outages.len(), "outages of an earlier life are heeded");
         }
         for known in outages {
-            let demand = self.remembers.began_with.iter().find(|(dest, _)| *dest == known.dest);
+            let demand = self.memory_file.began_with.iter().find(|(dest, _)| *dest == known.dest);
             let per_s = demand.map_or(0.0, |(_, per_s)| *per_s);
             let id = self.intern(known.front, &known.name);
-            self.sender.was_out(id, known.outage, per_s);
+            self.policy.was_out(id, known.outage, per_s);
         }
     }
 
     /// What is to be written of endpoints that are out or cold now.
     fn known_outages(&self, now: Micros) -> impl Iterator<Item = Known> + '_ {
-        let outages: HashMap<EndpointId, Outage> = self.sender.outages(now).into_iter().collect();
-        self.names.iter().filter_map(move |((front, name), id)| {
+        let outages: HashMap<EndpointId, Outage> = self.policy.outages(now).into_iter().collect();
+        self.endpoint_ids.iter().filter_map(move |((front, name), id)| {
             let outage = *outages.get(id)?;
             let dest = self.register.get(*front)?.dest_of(name)?;
             Some(Known { front: *front, name: name.clone(), dest, outage })
@@ -97,36 +97,36 @@
 
     /// A partner has told to wait.
     pub(super) fn heard_wait(&mut self, now: Micros, front: u8, dest: u16, wait: Micros) {
-        self.waits.retain(|_, until| *until > now);
-        let until = self.waits.entry((front, dest)).or_default();
-        self.remembers.beat.told(now, *until, now + wait);
+        self.destination_waits.retain(|_, until| *until > now);
+        let until = self.destination_waits.entry((front, dest)).or_default();
+        self.memory_file.beat.told(now, *until, now + wait);
         *until = (*until).max(now + wait);
     }
 
     /// Danger: a process that is killed behind this must not call in its next life before the wait is over; so it is
     /// written before anything that follows from the answer.
     pub(super) fn remember(&mut self, now: Micros) {
-        let changes = self.sender.outage_changes();
-        if std::mem::replace(&mut self.remembers.outage_changes, changes) != changes {
-            self.remembers.beat.changed();
+        let changes = self.policy.outage_changes();
+        if std::mem::replace(&mut self.memory_file.outage_changes, changes) != changes {
+            self.memory_file.beat.changed();
         }
-        let Some(dir) = self.remembers.dir.as_deref().filter(|_| self.remembers.beat.due(now)) else {
+        let Some(dir) = self.memory_file.dir.as_deref().filter(|_| self.memory_file.beat.due(now)) else {
             return;
         };
-        let seen: Demand = self.sender.demand(now).into_iter().map(|(d, per_s)| (d.0, per_s)).collect();
-        let demand = demand_of(now - self.remembers.began_at, seen, &self.remembers.began_with);
-        let memory = Memory::of(now, &self.waits, demand).with_outages(self.known_outages(now));
+        let seen: Demand = self.policy.demand(now).into_iter().map(|(d, per_s)| (d.0, per_s)).collect();
+        let demand = demand_of(now - self.memory_file.began_at, seen, &self.memory_file.began_with);
+        let memory = Memory::of(now, &self.destination_waits, demand).with_outages(self.known_outages(now));
         let idle = memory.waits.is_empty() && memory.demand.is_empty() && memory.outages.is_empty();
-        if idle && self.remembers.idle {
-            return self.remembers.beat.written(now, true);
+        if idle && self.memory_file.idle {
+            return self.memory_file.beat.written(now, true);
         }
-        self.remembers.idle = idle;
+        self.memory_file.idle = idle;
         let written = FILE.write(dir, &FILE.seal(&memory.bytes()));
-        self.remembers.beat.written(now, written.is_ok());
+        self.memory_file.beat.written(now, written.is_ok());
         let failed = written.as_ref().err();
-        if let (Some(e), false) = (failed, self.remembers.fails) {
+        if let (Some(e), false) = (failed, self.memory_file.fails) {
             tracing::warn!(target: "comeback", "told waits can't be written down, and hold in this life only: {e}");
         }
-        self.remembers.fails = failed.is_some();
+        self.memory_file.fails = failed.is_some();
     }
 }
--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -2,7 +2,7 @@
 //! a slot is free, and if it can't go at once it is taken out again, so it never competes. It has one call; it is claimed in the
 //! history just before the first byte, and the claim is closed once the call is over. The journal never hears of it.
 
-use super::{message, returned, Core, End, Msg, Over, Req};
+use super::{message, returned, Core, End, FinishedFetch, PendingMessage, Req};
 use crate::api::{Class, Effect, Event, Group, MessageId, Micros, Outcome, Settings};
 use crate::history::keeper::Keeper;
 use crate::history::reading::World;
@@ -121,14 +121,17 @@
         }
         self.close_claims(now);
         // The module has given them up, or puts them off.
-        let idle = |m: &u64| self.msgs.get(m).is_none_or(|held| !held.out) || self.in_line.contains_key(m);
+        let idle = |m: &u64| {
+            self.messages.get(m).is_none_or(|held| !held.in_flight) || self.waiting_fetches.contains_key(m)
+        };
         let idle: Vec<u64> = self.replays.ones.keys().copied().filter(idle).collect();
         idle.into_iter().for_each(|msg| self.withdraw(now, msg));
         if self.stop_at.is_some() || self.replays.runs.iter().all(Run::over) {
             return;
         }
-        let waits = |(msg, m): &(&u64, &Msg)| !m.over && !m.out && !self.replays.is(**msg);
-        let waiting = self.msgs.iter().filter(waits).count();
+        let waits =
+            |(msg, m): &(&u64, &PendingMessage)| !m.decided && !m.in_flight && !self.replays.is(**msg);
+        let waiting = self.messages.iter().filter(waits).count();
         if waiting > 0 {
             self.replays.quiet_until = self.replays.quiet_until.max(now + QUIET);
         }
@@ -137,7 +140,7 @@
         }
         let live = Live {
             waiting,
-            free: self.replays.slots.saturating_sub(self.msgs.values().filter(|m| m.out).count()),
+            free: self.replays.slots.saturating_sub(self.messages.values().filter(|m| m.in_flight).count()),
             spare: (self.replays.slots / SPARE).max(1),
         };
         let next = self.with_world(now, |history, life, world, runs| {
@@ -176,7 +179,7 @@
     pub(super) fn with_free<T>(
         &mut self, now: Micros, by: impl FnOnce(&mut Core, &mut Keeper) -> T,
     ) -> Result<T, NotNow> {
-        let shelf = self.past.as_ref().ok_or(NotNow::Gone)?.shelf.clone();
+        let shelf = self.history.as_ref().ok_or(NotNow::Gone)?.shelf.clone();
         let mut keeper = shelf.free().ok_or(NotNow::Busy)?;
         let keeper = keeper.as_mut().ok_or(NotNow::Gone)?;
         if keeper.slow(now) {
@@ -245,19 +248,19 @@
             self.replays.run(id).into_iter().for_each(|run| run.put_back(number));
             return;
         }
-        let (msg, req) = (self.next_msg, Arc::new(req));
-        self.next_msg += 1;
-        let held = Msg {
+        let (msg, req) = (self.next_message, Arc::new(req));
+        self.next_message += 1;
+        let held = PendingMessage {
             req: req.clone(),
-            tries: 0,
-            parked: None,
-            over: false,
-            shared: false,
+            attempts: 0,
+            orders_after_answer: None,
+            decided: false,
+            accepted_from_other_client: false,
             resumed_may_have_run: false,
-            out: false,
-            joins: None,
+            in_flight: false,
+            waiting_batch: None,
         };
-        self.msgs.insert(msg, held);
+        self.messages.insert(msg, held);
         self.replays.ones.insert(msg, One { order: id, number, claimed: false, passed: false });
         let message = message(msg, &req);
         let event = match risk {
@@ -265,7 +268,8 @@
             None => Event::Demand(message),
         };
         self.feed(now, &[event], &mut [(msg, None)]);
-        let goes = self.msgs.get(&msg).is_some_and(|held| held.out) && !self.in_line.contains_key(&msg);
+        let goes = self.messages.get(&msg).is_some_and(|held| held.in_flight)
+            && !self.waiting_fetches.contains_key(&msg);
         if !goes {
             // Danger: each try counts as demand of its tenant; the destination may be out for long.
             self.replays.quiet_until = self.replays.quiet_until.max(now + PUT_OFF);
@@ -303,8 +307,8 @@
     }
 
     /// Its one call is over.
-    pub(super) fn replay_over(&mut self, now: Micros, over: Over, events: &mut Vec<Event>) {
-        let Over { fetch, end, latency, load, .. } = over;
+    pub(super) fn replay_over(&mut self, now: Micros, over: FinishedFetch, events: &mut Vec<Event>) {
+        let FinishedFetch { fetch, end, latency, load, .. } = over;
         let outcome = match end {
             End::Delivered => Outcome::Ok,
             End::Failed => Outcome::Error,
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -1,6 +1,6 @@
 //! The core shared by the threads of a process: one clock, one lock, and a desk for fetches that are over.
 
-use super::{draining, Answer, Core, End, Fetch, Options, Order, Over, Report, Req};
+use super::{draining, Answer, Core, End, Fetch, FinishedFetch, Options, Order, Report, Req};
 use crate::admin::figures::Board;
 use crate::api::{Micros, Settings};
 use crate::clock::Clock;
@@ -23,7 +23,7 @@
     /// Fetches that are over and that the core has not heard of yet, and how many: whoever holds the state takes them in
     /// before it lets go. Threads that end a fetch never wait for the state, and what ends together is one round of the
     /// module and one write of the journal.
-    desk: Mutex<Vec<Over>>,
+    desk: Mutex<Vec<FinishedFetch>>,
     on_desk: AtomicUsize,
     orders: Receiver<Order>,
     /// Ended messages; `None`: they are not kept.
@@ -69,8 +69,8 @@
         let (core, orders) = Core::new(settings, seed, clock.now(), journal, options);
         let courier = Courier {
             clock,
-            sharing: core.shares.desk.clone(),
-            past: core.past.as_ref().map(|past| past.shelf.clone()),
+            sharing: core.sharing_state.desk.clone(),
+            past: core.history.as_ref().map(|past| past.shelf.clone()),
             state: Mutex::new(core),
             desk: Mutex::default(),
             on_desk: AtomicUsize::new(0),
@@ -88,7 +88,7 @@
     }
 
     /// Fetches are over. They are taken in at once, by this thread or by the one that holds the state.
-    fn over(&self, over: Vec<Over>) {
+    fn over(&self, over: Vec<FinishedFetch>) {
         let mut desk = self.desk.lock().unwrap_or_else(PoisonError::into_inner);
         desk.extend(over);
         // Danger: written after the lock is gone, a later smaller number would hide what lies there.
@@ -134,7 +134,7 @@
     /// Takes in what happened.
     pub fn report(&self, what: Report) -> Answer {
         if let Report::Done { fetch, end, latency, load, said } = what {
-            self.over(vec![Over { fetch, end, latency, load, said }]);
+            self.over(vec![FinishedFetch { fetch, end, latency, load, said }]);
             return Answer::Noted;
         }
         let mut state = self.state();
@@ -161,7 +161,8 @@
 
     /// Fetches that shared a call are over; they are taken in as one. The first speaks for the call.
     pub fn all_over(&self, ends: Vec<(Fetch, End)>, latency: Micros, load: &[f32]) {
-        let over = |(fetch, end)| Over { fetch, end, latency, load: load.to_vec(), said: String::new() };
+        let over =
+            |(fetch, end)| FinishedFetch { fetch, end, latency, load: load.to_vec(), said: String::new() };
         self.over(ends.into_iter().map(over).collect());
     }
 
--- a/src/core/sharing.rs
+++ b/src/core/sharing.rs
@@ -1,6 +1,6 @@
 //! The core's side of the desk where it meets what couriers share. Without a rider the desk is shut, and nothing is done here.
 
-use super::{Core, FIRST_FRONT};
+use super::{Core, PLATFORM_FRONT};
 use crate::api::{EndpointId, Micros};
 use crate::shared::sharing::{name, Beliefs, Desk};
 use std::collections::HashMap;
@@ -41,44 +41,47 @@
 impl Core {
     /// When a round begins: what the fleet believes goes in, and from time to time what this courier knows goes out.
     pub(super) fn look_at_desk(&mut self, now: Micros) {
-        if !self.shares.desk.is_open() {
+        if !self.sharing_state.desk.is_open() {
             return;
         }
-        let beliefs = self.shares.desk.beliefs();
-        let same = match (&beliefs, &self.shares.believed) {
+        let beliefs = self.sharing_state.desk.beliefs();
+        let same = match (&beliefs, &self.sharing_state.believed) {
             (Some(new), Some(old)) => Arc::ptr_eq(new, old),
             (new, _) => new.is_none(),
         };
         if !same {
-            self.shares.believed = beliefs.clone();
-            beliefs.into_iter().for_each(|beliefs| self.sender.believe(now, beliefs));
+            self.sharing_state.believed = beliefs.clone();
+            beliefs.into_iter().for_each(|beliefs| self.policy.believe(now, beliefs));
         }
-        if now < self.shares.facts_at {
+        if now < self.sharing_state.facts_at {
             return;
         }
-        self.shares.facts_at = now + EVERY;
-        let mut facts = self.sender.facts(now);
-        if self.shares.named.len() > 2 * self.names.len() {
-            self.shares.named.clear();
+        self.sharing_state.facts_at = now + EVERY;
+        let mut facts = self.policy.facts(now);
+        if self.sharing_state.named.len() > 2 * self.endpoint_ids.len() {
+            self.sharing_state.named.clear();
         }
-        if facts.endpoints.iter().any(|e| !self.shares.named.contains_key(&e.at)) {
+        if facts.endpoints.iter().any(|e| !self.sharing_state.named.contains_key(&e.at)) {
             // Who brings mail to other firms speaks another protocol there, and his neighbours are none of ours.
-            let platform = self.names.iter().filter(|((front, _), _)| *front == FIRST_FRONT);
-            self.shares.named.extend(platform.map(|((_, words), id)| (*id, name(words.as_bytes()))));
+            let platform = self.endpoint_ids.iter().filter(|((front, _), _)| *front == PLATFORM_FRONT);
+            self.sharing_state.named.extend(platform.map(|((_, words), id)| (*id, name(words.as_bytes()))));
         }
-        if let Some(hand) = self.hand.as_ref().filter(|hand| hand.version() != self.shares.banned.0) {
+        if let Some(hand) =
+            self.overrides.as_ref().filter(|hand| hand.version() != self.sharing_state.banned.0)
+        {
             // Danger: the version before the set, so that a change in between is looked at once more.
             let version = hand.version();
-            self.shares.banned = (version, hand.out().names().map(|out| name(out.as_bytes())).collect());
+            self.sharing_state.banned =
+                (version, hand.out().names().map(|out| name(out.as_bytes())).collect());
         }
-        facts.banned = self.shares.banned.1.clone();
-        let named = &self.shares.named;
+        facts.banned = self.sharing_state.banned.1.clone();
+        let named = &self.sharing_state.named;
         facts.endpoints.retain_mut(|e| {
             named.get(&e.at).is_some_and(|name| {
                 e.name = *name;
                 true
             })
         });
-        self.shares.desk.lay(facts);
+        self.sharing_state.desk.lay(facts);
     }
 }
--- a/src/core/taking.rs
+++ b/src/core/taking.rs
@@ -1,6 +1,6 @@
 //! Reqs that are handed in: taken or refused at once, and written down before any answer says so.
 
-use super::{message, returned, Answer, Core, Msg, Order, Req, Verdict, STAY_AWAY};
+use super::{message, returned, Answer, Core, Order, PendingMessage, Req, Verdict, DEFAULT_RETRY_AFTER};
 use crate::admin::figures::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
 use crate::register::trust::CallEnd;
@@ -9,7 +9,7 @@
 impl Core {
     /// How long a client is told to stay away where the module has said nothing; never longer than the settings say it heeds.
     pub(super) fn stay_away(&self) -> Micros {
-        STAY_AWAY.min(self.draining.longest)
+        DEFAULT_RETRY_AFTER.min(self.draining.longest)
     }
 
     /// Taken or refused at once, each in its turn. The journal has all that are taken before any answer says so.
@@ -37,8 +37,8 @@
                     answers.push(answer);
                 }
                 None => {
-                    let id = self.next_msg;
-                    self.next_msg += 1;
+                    let id = self.next_message;
+                    self.next_message += 1;
                     batch.push((id, Arc::new(req)));
                     answers.push(Answer::Taken(id));
                 }
@@ -52,12 +52,12 @@
     pub(super) fn look_at(&mut self, now: Micros, req: &Req, before: usize) -> Option<Answer> {
         let stay_away = self.stay_away();
         // Handed in again under the same id: its answer was lost on the way, and it is owed, or was answered, once.
-        if let Some(held) = self.by_id.get(&req.id).and_then(|msg| self.msgs.get_mut(msg)) {
+        if let Some(held) = self.messages_by_id.get(&req.id).and_then(|msg| self.messages.get_mut(msg)) {
             // Danger: another's message under an id that is taken was told that it is taken on, and never was.
             if !same(&held.req, req) {
                 return Some(Answer::Refused(stay_away));
             }
-            held.shared = true;
+            held.accepted_from_other_client = true;
             return Some(Answer::Known);
         }
         if self.journal.knows(&req.id, now) {
@@ -70,7 +70,7 @@
         if !book.knows_dest(req.dest) {
             return Some(if book.certain() { Answer::NoSuchDest } else { Answer::Refused(stay_away) });
         }
-        let full = self.msgs.len() + before >= self.max_open;
+        let full = self.messages.len() + before >= self.max_pending;
         full.then_some(Answer::Refused(stay_away))
     }
 
@@ -96,19 +96,19 @@
         for (id, req) in &batch[..taken] {
             events.push(Event::Demand(message(*id, req)));
             asking.push((*id, None));
-            self.by_id.insert(req.id.clone(), *id);
+            self.messages_by_id.insert(req.id.clone(), *id);
             let parked = Some(Vec::new());
-            let msg = Msg {
+            let msg = PendingMessage {
                 req: req.clone(),
-                tries: 0,
-                parked,
-                over: false,
-                shared: false,
+                attempts: 0,
+                orders_after_answer: parked,
+                decided: false,
+                accepted_from_other_client: false,
                 resumed_may_have_run: false,
-                out: false,
-                joins: None,
+                in_flight: false,
+                waiting_batch: None,
             };
-            self.msgs.insert(*id, msg);
+            self.messages.insert(*id, msg);
         }
         if taken > 0 {
             self.feed(now, &events, &mut asking);
@@ -134,7 +134,9 @@
 
     /// The client went before its answer was written.
     pub(super) fn withdrawn(&mut self, now: Micros, msg: u64) {
-        let Some(parked) = self.msgs.get_mut(&msg).and_then(|m| m.parked.take()) else { return };
+        let Some(parked) = self.messages.get_mut(&msg).and_then(|m| m.orders_after_answer.take()) else {
+            return;
+        };
         let mut events = vec![Event::Hangup(MessageId(msg))];
         for order in parked {
             if let Order::Fetch(fetch) = order {
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -134,12 +134,12 @@
         history::keeper::Keeper::open(&state, history, owner.claim.incarnation, members, clock.now(), watch)
     });
     let options = Options {
-        hand: Some(by_hand.clone()),
-        passed,
+        overrides: Some(by_hand.clone()),
+        handed_over: passed,
         register: reg.rules.clone(),
-        drains: control.is_some().then(|| state.clone()),
-        memory: Some(state.clone()),
-        ends: asks.is_some(),
+        drain_dir: control.is_some().then(|| state.clone()),
+        memory_dir: Some(state.clone()),
+        record_outcomes: asks.is_some(),
         own_class: mail_config.as_ref().map(|m| m.bounce_class),
         history: keeper,
     };
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -30,7 +30,7 @@
     settings.classes = vec![class(keyed()), class(Effect::Unsafe)];
     let succession = if passed.is_some() { Succession::HandOver } else { Succession::Restart };
     let journal = Journal::open_as(dir, DISK, now, 0, succession).unwrap();
-    let options = Options { passed, ..Options::default() };
+    let options = Options { handed_over: passed, ..Options::default() };
     let courier = Courier::new(settings, 1, Clock::at(now), journal, options);
     list(&courier);
     courier
