--- a/src/believe.rs
+++ b/src/believe.rs
@@ -17,7 +17,7 @@
 impl Sender {
     /// What this sender knows of itself. What it was told by others is not in it.
     pub fn facts(&self, now: Micros) -> Facts {
-        let quotas = self.set.tenants.iter().zip(&self.tenants_asked).enumerate();
+        let quotas = self.settings.tenants.iter().zip(&self.tenant_demand_counts).enumerate();
         let tenants = quotas.filter(|(_, (t, _))| t.quota_per_s.is_some_and(|q| q > 0.0));
         let destinations = self.routes.iter().filter(|((_, apart), _)| apart.is_none());
         let waiting = self.waiting_by_destination();
@@ -34,38 +34,40 @@
     }
 
     fn of_destination(&self, now: Micros, id: DestinationId, route: &Route, waiting: usize) -> OfDestination {
-        let lately = |span| own_rate(&self.destinations, now, id, span);
+        let lately = |span| demand_rate(&self.destinations, now, id, span);
         let (usual, newest) = (lately(DEMAND_OVER), lately(LATELY));
         // Danger: with few messages, chance alone doubles a short count, and shares would swing with it.
         let chance = BY_CHANCE * (usual / LATELY.secs()).sqrt();
         let rate = if newest > usual + chance { newest } else { usual };
-        let asked = self.destinations.get(&id).and_then(|d| d.asked.back());
+        let asked = self.destinations.get(&id).and_then(|d| d.recent_demand.back());
         let some = asked.is_some_and(|at| *at + DEMAND_OVER > now);
         let demand = if some { rate } else { 0.0 } + waiting as f64 * OF_WAITING;
-        let Pace { limit, called, turned, .. } = route.pace;
-        let came = self.destinations.get(&id).map_or((0, 0), |d| d.came);
-        OfDestination { dest: id.0, came, demand, limit, called, refused: turned }
+        let SendRate { limit, calls_sent, calls_refused, .. } = route.send_rate;
+        let came = self.destinations.get(&id).map_or((0, 0), |d| d.handed_in);
+        OfDestination { dest: id.0, came, demand, limit, called: calls_sent, refused: calls_refused }
     }
 
     /// What couriers believe together, from now on.
     pub fn believe(&mut self, now: Micros, beliefs: Arc<Beliefs>) {
         let back: Vec<_> = beliefs.endpoints.keys().copied().filter(|id| beliefs.back(now, *id)).collect();
-        back.into_iter().for_each(|id| self.heard_back(now, id));
+        back.into_iter().for_each(|id| self.peers_report_recovery(now, id));
         self.beliefs = Some(beliefs);
-        self.heed_at = Some(now);
+        self.lease_update_at = Some(now);
     }
 
     /// Parts of limits change as time goes on, also where nothing more is heard.
     pub(crate) fn heed(&mut self, now: Micros) {
-        let Some(beliefs) = self.beliefs.as_ref().filter(|_| self.heed_at.is_some_and(|at| at <= now)) else {
+        let Some(beliefs) =
+            self.beliefs.as_ref().filter(|_| self.lease_update_at.is_some_and(|at| at <= now))
+        else {
             return;
         };
         for ((dest, apart), route) in &mut self.routes {
             if apart.is_none() {
-                route.pace.leased(now, beliefs.share_of(now, dest.0), self.set.senders);
+                route.send_rate.set_lease(now, beliefs.share_of(now, dest.0), self.settings.senders);
             }
         }
-        self.heed_at = beliefs.next_step(now);
+        self.lease_update_at = beliefs.next_step(now);
     }
 }
 
@@ -74,13 +76,15 @@
     let lately = e.last_ok > Micros(0) && e.last_ok + DEMAND_OVER > now;
     let (saw, at) = match e.health {
         // Danger: what went out with a sibling, or was opened by another's word, was not seen here.
-        Health::Out { .. } | Health::HalfOpen => ((e.trouble > 0.0).then_some(Saw::Out), e.out_at),
-        Health::Ramp { .. } => ((lately && e.last_ok >= e.out_at).then_some(Saw::Cold), e.last_ok),
-        Health::Up => (lately.then_some(Saw::Served), e.last_ok),
+        Health::Ejected { .. } | Health::HalfOpen => {
+            ((e.failure_average > 0.0).then_some(Saw::Out), e.ejected_at)
+        }
+        Health::SlowStart { .. } => ((lately && e.last_ok >= e.ejected_at).then_some(Saw::Cold), e.last_ok),
+        Health::Healthy => (lately.then_some(Saw::Served), e.last_ok),
     };
     let retry = match e.health {
-        Health::Out { trial_at, .. } => trial_at,
+        Health::Ejected { trial_at, .. } => trial_at,
         _ => now,
     };
-    OfEndpoint { at: id, name: name(&id.bytes()), saw, seen: at, retry, tried: e.tried_at }
+    OfEndpoint { at: id, name: name(&id.bytes()), saw, seen: at, retry, tried: e.last_trial_at }
 }
--- a/src/carry.rs
+++ b/src/carry.rs
@@ -2,9 +2,9 @@
 //! of destinations and endpoints, told waits, paces and budgets. It decides nothing; endpoints keep their ids.
 
 use crate::api::*;
-use crate::policy::DEPOSIT_LIFE;
+use crate::policy::DEMAND_WINDOW;
 use crate::shared::sharing::{Beliefs, Facts};
-use crate::state::{Destination, Endpoint, Health, Reserve, Route, RouteId, Sender};
+use crate::state::{Destination, Endpoint, Health, RetryReserve, Route, RouteId, Sender};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -20,8 +20,12 @@
 }
 
 type Pairs<K, V> = Vec<(K, V)>;
-type Read =
-    Learnt<Pairs<DestinationId, Destination>, Pairs<RouteId, Route>, Pairs<EndpointId, Endpoint>, Reserve>;
+type Read = Learnt<
+    Pairs<DestinationId, Destination>,
+    Pairs<RouteId, Route>,
+    Pairs<EndpointId, Endpoint>,
+    RetryReserve,
+>;
 
 impl Sender {
     pub(crate) fn carry(&self) -> Carried {
@@ -29,10 +33,10 @@
             destinations: self.destinations.iter().collect::<Vec<_>>(),
             routes: self.routes.iter().collect::<Vec<_>>(),
             endpoints: self.endpoints.iter().collect::<Vec<_>>(),
-            reserve: &self.reserve,
-            shares: self.shares.clone(),
-            hope: self.hope,
-            keep: self.keep.iter().map(|(k, v)| (*k, *v)).collect(),
+            reserve: &self.retry_reserve,
+            shares: self.tenant_clocks.clone(),
+            hope: self.acceptance_after_refusal,
+            keep: self.idle_timeouts.iter().map(|(k, v)| (*k, *v)).collect(),
         };
         // What can't be put into words is learnt anew.
         Carried(serde_json::to_value(learnt).unwrap_or_default())
@@ -42,16 +46,16 @@
         let Ok(learnt) = serde_json::from_value::<Read>(carried.0) else { return };
         self.destinations = learnt.destinations.into_iter().collect();
         self.routes = learnt.routes.into_iter().collect();
-        self.reserve = learnt.reserve;
-        if learnt.shares.len() == self.shares.len() {
-            self.shares = learnt.shares;
+        self.retry_reserve = learnt.reserve;
+        if learnt.shares.len() == self.tenant_clocks.len() {
+            self.tenant_clocks = learnt.shares;
         }
-        self.hope = learnt.hope;
-        self.keep = learnt.keep.into_iter().collect();
+        self.acceptance_after_refusal = learnt.hope;
+        self.idle_timeouts = learnt.keep.into_iter().collect();
         for (id, mut endpoint) in learnt.endpoints {
             // Its trial is out, and if it is not any more nobody would ever end the wait for it.
             if endpoint.health == Health::HalfOpen {
-                endpoint.health = Health::Out { trial_at: endpoint.tried_at, probed: false };
+                endpoint.health = Health::Ejected { trial_at: endpoint.last_trial_at, probed: false };
             }
             self.routes.entry(endpoint.route).or_default().endpoints.insert(id);
             self.endpoints.insert(id, endpoint);
@@ -66,14 +70,15 @@
 
     /// A life that begins goes on from here. Where limits are told, by list or by report, they say it better.
     pub(crate) fn first_pace(&mut self, destination: DestinationId, per_s: f64) {
-        if self.set.report_limit.is_none() && self.set.weights == Weights::Off {
-            self.routes.entry((destination, None)).or_default().pace.rate.get_or_insert(per_s);
+        if self.settings.report_limit.is_none() && self.settings.weights == Weights::Off {
+            self.routes.entry((destination, None)).or_default().send_rate.calls_per_s.get_or_insert(per_s);
         }
     }
 
     pub(crate) fn demand(&self, now: Micros) -> Vec<(DestinationId, f64)> {
-        let lately = |d: &Destination| d.asked.iter().filter(|at| **at + DEPOSIT_LIFE >= now).count();
-        let all = self.destinations.iter().map(|(id, d)| (*id, lately(d) as f64 / DEPOSIT_LIFE.secs()));
+        let lately =
+            |d: &Destination| d.recent_demand.iter().filter(|at| **at + DEMAND_WINDOW >= now).count();
+        let all = self.destinations.iter().map(|(id, d)| (*id, lately(d) as f64 / DEMAND_WINDOW.secs()));
         all.filter(|(_, per_s)| *per_s > 0.0).collect()
     }
 }
@@ -116,7 +121,7 @@
     }
 
     fn avoids(&self, id: EndpointId) -> bool {
-        self.endpoints.get(&id).is_some_and(|e| e.health.is_out())
+        self.endpoints.get(&id).is_some_and(|e| e.health.is_ejected())
     }
 
     fn facts(&self, now: Micros) -> Facts {
@@ -213,7 +218,7 @@
         ];
         new.handle(now + Micros(2000), &events, &mut actions);
         assert_eq!(tries(&actions), 0, "one waits, one is out: {actions:?}");
-        assert_eq!(new.free(), old.free(), "the call holds its slot");
+        assert_eq!(new.free_slots(), old.free_slots(), "the call holds its slot");
         let (outcome, report) = (Outcome::Ok, Vec::new());
         new.handle(
             now + Micros(100_000),
@@ -228,8 +233,8 @@
             }],
             &mut actions,
         );
-        assert!(!new.held.contains_key(&MessageId(2)));
-        assert_eq!(new.free(), old.free() + 1);
+        assert!(!new.messages.contains_key(&MessageId(2)));
+        assert_eq!(new.free_slots(), old.free_slots() + 1);
         for ms in 2..40 {
             new.handle(now + Micros(ms * 100_000), &[Event::Elapsed(TimerToken(0))], &mut actions);
             if ms < 20 {
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -1,190 +1,229 @@
-//! Which endpoints are out, and when they are tried.
+//! Outlier ejection: which endpoints are out, and when they get a trial.
 
 use super::*;
 
-const BLIP: Micros = Micros(3_000_000); // one out by a lost call for less was not out at all
-/// One that refuses so often in a row, with so much of its limit left by its report, is shut: an outage.
-const SHUT_LEFT: f32 = 0.9;
-const SHUT_RUN: i32 = 2;
-pub(super) const SHUT_SOME: f32 = 0.25;
-/// So long a silence is shut too with some of the limit left, or with none where no limit is listed and no
-/// wait ever told. Danger (broken rules): a hung one refuses with its queue full; where refused calls use the
-/// limit up it looks busy. Not where senders may probe: their probes use a busy one's limit up.
-const SHUT_LONG: Micros = Micros(5_000_000);
-const REST_SHARE: f64 = 0.35;
-const SHUT_SILENT: Micros = Micros(2_000_000);
-/// Bounds of the pause between trials of one that is out; the upper for each sender: many push it over.
-const TRIAL_MIN: Micros = Micros(500_000);
-const TRIAL_MAX: Micros = Micros(750_000);
+/// An ejection by a lost call was no outage, and is undone, if the endpoint's previous success is at most
+/// this old when it succeeds again.
+const MAX_BLIP: Micros = Micros(3_000_000);
+/// An endpoint that refuses this many calls in a row while it reports at least this fraction of its limit as
+/// left is shut: it has an outage.
+const SHUT_HEADROOM: f32 = 0.9;
+const SHUT_REFUSALS_IN_A_ROW: i32 = 2;
+/// From this fraction of the limit on, a refusal is not taken for one by the limit.
+pub(super) const LIMIT_NOT_REACHED_HEADROOM: f32 = 0.25;
+/// An endpoint that refuses in a row and has accepted nothing for this long is shut too if some of its limit
+/// is left, or if no limit is listed and it never told the sender to wait.
+///
+/// A hung endpoint refuses while its queue is full, and where refused calls use the limit up it looks merely
+/// busy; that has led to broken rules. Where senders may probe, this needs load reports, as probes use up the
+/// limit of a busy endpoint.
+const LONG_SILENCE: Micros = Micros(5_000_000);
+/// Upper bound of the pause after a single refusal with the limit free, in gaps between slow start calls.
+const REFUSAL_PAUSE_GAPS: f64 = 0.35;
+/// Time without an accepted call from which a refusal with the limit free counts as an outage.
+const SHORT_SILENCE: Micros = Micros(2_000_000);
+/// Bounds of the interval between trials of an ejected endpoint. The upper bound is multiplied by the number
+/// of senders, as the trials of many senders would otherwise overload the endpoint.
+const MIN_TRIAL_INTERVAL: Micros = Micros(500_000);
+const MAX_TRIAL_INTERVAL_PER_SENDER: Micros = Micros(750_000);
 const TRIAL_JITTER: f64 = 0.25;
-/// So long after an outage, endpoints that join are cold.
-pub(super) const OUT_MEMORY: Micros = Micros(20_000_000);
-/// Gain of the latency averages; deviations above the mean that few answers exceed.
+/// For this long after an outage, endpoints that join begin in slow start.
+pub(super) const OUTAGE_MEMORY: Micros = Micros(20_000_000);
+/// A sibling without a success for this long is ejected together with an endpoint.
+const SIBLING_SILENCE: Micros = DEMAND_WINDOW;
+/// Weight of the newest latency in the averages.
 const LATENCY_GAIN: f64 = 0.2;
+/// The upper latency, which few answers exceed, is the mean and this many deviations.
 const UPPER_DEVIATIONS: f64 = 4.0;
-/// An endpoint with a call out for so many times its upper latency, and nothing heard since, has stalled.
+/// An endpoint has stalled if a call has been in flight for this many upper latencies with no sign since.
 const STALL_LATENCIES: f64 = 2.0;
-const STALL_MIN: Micros = Micros(1_000_000);
+const MIN_STALL_TIME: Micros = Micros(1_000_000);
 
 impl Endpoint {
     /// Latency that few answers exceed, in seconds.
-    pub(super) fn upper(&self) -> Option<f64> {
-        self.mean.map(|m| m + UPPER_DEVIATIONS * self.deviation)
+    pub(super) fn upper_latency(&self) -> Option<f64> {
+        self.latency_mean.map(|m| m + UPPER_DEVIATIONS * self.latency_deviation)
     }
 
-    pub(super) fn answered(&mut self, latency: Micros) {
-        self.timeouts = 0;
+    /// Updates the latency averages after a successful answer.
+    pub(super) fn record_latency(&mut self, latency: Micros) {
+        self.consecutive_timeouts = 0;
         let x = latency.secs();
-        match self.mean {
-            None => (self.mean, self.deviation) = (Some(x), x / 2.0),
+        match self.latency_mean {
+            None => (self.latency_mean, self.latency_deviation) = (Some(x), x / 2.0),
             Some(m) => {
-                self.deviation += LATENCY_GAIN * ((x - m).abs() - self.deviation);
-                self.mean = Some(m + LATENCY_GAIN * (x - m));
+                self.latency_deviation += LATENCY_GAIN * ((x - m).abs() - self.latency_deviation);
+                self.latency_mean = Some(m + LATENCY_GAIN * (x - m));
             }
         }
     }
 
-    /// Danger: a hanging endpoint costs no tokens, it only swallows slots and messages. Once a call is out
-    /// far too long with nothing heard since, one further call at a time goes there.
-    pub(super) fn stalled(&self, now: Micros) -> bool {
-        let limit = Micros::from_secs(self.upper().unwrap_or(0.0) * STALL_LATENCIES).max(STALL_MIN);
-        let stale = self.calls.values().filter(|c| c.sent + limit < now && self.last_heard < c.sent).count();
-        stale > 0 && self.calls.len() > stale
+    /// Whether the endpoint hangs, so that it may get no further call. A hanging endpoint costs no retry
+    /// tokens, but it holds slots and messages. Once a call has been in flight far too long with no sign
+    /// since, one further call at a time is sent.
+    pub(super) fn is_stalled(&self, now: Micros) -> bool {
+        let upper = Micros::from_secs(self.upper_latency().unwrap_or(0.0) * STALL_LATENCIES);
+        let limit = upper.max(MIN_STALL_TIME);
+        let stale = |c: &&Call| c.sent_at + limit < now && self.last_heard < c.sent_at;
+        let stale_calls = self.calls.values().filter(stale).count();
+        stale_calls > 0 && self.calls.len() > stale_calls
     }
 }
 
 impl Sender {
-    pub(super) fn seen_alive(&mut self, now: Micros, id: EndpointId, actions: &mut Vec<Action>) {
+    /// Records a successful call: an ejected endpoint returns, in slow start unless the ejection was a blip.
+    pub(super) fn record_success(&mut self, now: Micros, id: EndpointId, actions: &mut Vec<Action>) {
         let Some(e) = self.endpoints.get_mut(&id) else { return };
-        let blip = e.lost && e.served_within(now, BLIP);
+        let blip = e.last_failure_lost && e.served_within(now, MAX_BLIP);
         (e.last_ok, e.last_heard) = (now, now);
-        e.trouble *= 1.0 - TROUBLE_GAIN;
-        if e.health.is_out() && blip {
-            self.was_blip(now, id);
-        } else if e.health.is_out() {
-            if self.set.limits.notes && e.noted + NOTE_APART <= now {
-                e.noted = now;
+        e.failure_average *= 1.0 - FAILURE_GAIN;
+        if e.health.is_ejected() && blip {
+            self.undo_ejection(now, id);
+        } else if e.health.is_ejected() {
+            if self.settings.limits.notes && e.last_note_at + MIN_NOTE_INTERVAL <= now {
+                e.last_note_at = now;
                 actions.push(Action::Note { to: None, bytes: id.bytes().to_vec() });
             }
-            self.back(now, id);
-            self.log(now, id, "is back and cold", actions);
+            self.begin_slow_start(now, id);
+            self.log_endpoint(now, id, "is back and cold", actions);
         }
     }
 
-    /// Nothing was out: what was taken out with this endpoint is in use again, and who joins is not cold.
-    fn was_blip(&mut self, now: Micros, id: EndpointId) {
-        let Some(at) = self.endpoints.get(&id).map(|e| e.out_at) else { return };
-        let mut all = true;
-        self.each_sibling(id, |sibling, e| {
-            if sibling == id || e.out_at == at && matches!(e.health, Health::Out { .. }) {
-                (e.health, e.trouble) = (Health::Up, 0.0);
+    /// Puts an endpoint that had no real outage back into normal use, together with the siblings that were
+    /// ejected with it. If all are healthy then, endpoints that join do not begin in slow start.
+    fn undo_ejection(&mut self, now: Micros, id: EndpointId) {
+        let Some(at) = self.endpoints.get(&id).map(|e| e.ejected_at) else { return };
+        let mut all_healthy = true;
+        self.for_each_sibling(id, |sibling, e| {
+            if sibling == id || e.ejected_at == at && matches!(e.health, Health::Ejected { .. }) {
+                (e.health, e.failure_average) = (Health::Healthy, 0.0);
             }
-            all &= e.health == Health::Up;
+            all_healthy &= e.health == Health::Healthy;
         });
         let route = self.endpoints.get(&id).and_then(|e| self.routes.get_mut(&e.route));
-        route.filter(|_| all).into_iter().for_each(|r| r.out_until = now);
+        route.filter(|_| all_healthy).into_iter().for_each(|r| r.recent_outage_until = now);
     }
 
-    /// Danger: trials push a cold one too: one for all that are out, spaced by what these bear at least.
-    pub(super) fn trial_pause(&mut self, now: Micros, id: EndpointId) -> Micros {
+    /// Interval between trials of an ejected endpoint. Trials load a cold endpoint too, so one trial serves
+    /// all ejected siblings, and trials are spaced by at least the total slow start rate of these.
+    pub(super) fn trial_interval(&mut self, now: Micros, id: EndpointId) -> Micros {
         let jitter = 1.0 + TRIAL_JITTER * (2.0 * uniform(&mut self.rng) - 1.0);
-        let out = |s: &Endpoint| s.listed == Listed::Ready && s.health.is_out();
-        let tried = |s: &&EndpointId| self.endpoints.get(s).is_some_and(out);
-        let out = self.siblings(id).iter().filter(tried).count().max(1) as f64;
-        let turns = self.beliefs.as_ref().is_some_and(|b| b.may_try(now, id).is_some());
-        let most = TRIAL_MAX.scale(if turns { 1.0 } else { f64::from(self.set.senders) });
-        let pause = Micros::from_secs(1.0 / (self.cold_rate(now, id) * out));
-        pause.min(most).max(TRIAL_MIN).scale(jitter)
+        let is_ejected = |s: &Endpoint| s.listed == Listed::Ready && s.health.is_ejected();
+        let ejected = |s: &&EndpointId| self.endpoints.get(s).is_some_and(is_ejected);
+        let count = self.siblings(id).iter().filter(ejected).count().max(1) as f64;
+        let takes_turns = self.beliefs.as_ref().is_some_and(|b| b.may_try(now, id).is_some());
+        let senders = if takes_turns { 1.0 } else { f64::from(self.settings.senders) };
+        let max = MAX_TRIAL_INTERVAL_PER_SENDER.scale(senders);
+        let interval = Micros::from_secs(1.0 / (self.slow_start_rate(now, id) * count));
+        interval.min(max).max(MIN_TRIAL_INTERVAL).scale(jitter)
     }
 
-    /// Not before this sender would, and where turns are taken in its own.
-    pub(super) fn tries(&self, now: Micros, id: EndpointId, trial_at: Micros) -> bool {
+    /// Whether this sender may try the endpoint: its own trial time has come and, where the senders take
+    /// turns, it is this sender's turn.
+    pub(super) fn trial_due(&self, now: Micros, id: EndpointId, trial_at: Micros) -> bool {
         trial_at <= now && self.beliefs.as_ref().and_then(|b| b.may_try(now, id)).unwrap_or(true)
     }
 
-    pub(super) fn take_out(&mut self, now: Micros, id: EndpointId, actions: &mut Vec<Action>) {
-        let was = self.endpoints.get(&id).map_or(Health::Up, |e| e.health);
+    /// Ejects an endpoint, together with the siblings that have not succeeded lately.
+    pub(super) fn eject(&mut self, now: Micros, id: EndpointId, actions: &mut Vec<Action>) {
+        let before = self.endpoints.get(&id).map_or(Health::Healthy, |e| e.health);
         for sibling in self.siblings(id) {
             let Some(e) = self.endpoints.get_mut(&sibling) else { continue };
-            self.routes.entry(e.route).and_modify(|r| r.out_until = now + OUT_MEMORY);
-            if sibling == id || e.last_ok + DEPOSIT_LIFE < now && !e.health.is_out() {
-                (e.health, e.out_at) = (Health::Out { trial_at: now, probed: false }, now);
+            self.routes.entry(e.route).and_modify(|r| r.recent_outage_until = now + OUTAGE_MEMORY);
+            if sibling == id || e.last_ok + SIBLING_SILENCE < now && !e.health.is_ejected() {
+                (e.health, e.ejected_at) = (Health::Ejected { trial_at: now, probed: false }, now);
             }
         }
         self.outage_changes += 1;
-        self.rest_trials(now, id);
-        if was == Health::Up {
-            self.log(now, id, "is out", actions);
+        self.postpone_trials(now, id);
+        if before == Health::Healthy {
+            self.log_endpoint(now, id, "is out", actions);
         }
     }
 
-    /// No trial of the endpoints that are out with this one, itself counted, before a pause.
-    pub(super) fn rest_trials(&mut self, now: Micros, id: EndpointId) {
-        let next = now + self.trial_pause(now, id);
-        self.each_sibling(id, |_, e| {
-            if let Health::Out { trial_at, .. } = &mut e.health {
+    /// Puts the next trial of the endpoint and its ejected siblings off by a trial interval from now.
+    pub(super) fn postpone_trials(&mut self, now: Micros, id: EndpointId) {
+        let next = now + self.trial_interval(now, id);
+        self.for_each_sibling(id, |_, e| {
+            if let Health::Ejected { trial_at, .. } = &mut e.health {
                 *trial_at = next.max(*trial_at);
             }
         });
     }
 
-    /// Danger (broken rule 4): who refuses in a row, or for long, with the limit free is shut; a message of
-    /// each sender pushes it over when it opens. Told when, it is cold from then on, each at its own point.
-    pub(super) fn shut(
-        &mut self, now: Micros, id: EndpointId, told: Micros, report: &[f32], actions: &mut Vec<Action>,
+    /// Checks whether a refusal, with the time it told the sender to wait (0: none), shows an outage.
+    ///
+    /// An endpoint that refuses in a row, or for long, while its limit is free is shut. If each sender sent
+    /// it a message when it opens, it would be overloaded; that has broken rule 4. If it told when it opens,
+    /// its slow start begins then, at a random credit for each endpoint and sender. Otherwise it is ejected.
+    pub(super) fn check_refusal_for_outage(
+        &mut self, now: Micros, id: EndpointId, told_wait: Micros, report: &[f32], actions: &mut Vec<Action>,
     ) {
-        let of = |place: Option<usize>| place.map(|i| report.get(i).copied().unwrap_or(0.0));
-        let left = of(self.set.report_left).unwrap_or(0.0);
-        let left = if of(self.set.report_limit) == Some(0.0) { 1.0 } else { left };
-        let Some(at) = self.endpoints.get(&id).map(|e| e.route) else { return };
-        let Some(route) = self.routes.get_mut(&at) else { return };
-        let (silent, in_row) = (now - route.taken_at, route.pace.run >= SHUT_RUN);
-        let untold = self.set.weights == Weights::Off && route.wait_until == Micros(0);
-        let (busy, tells) = (self.set.limits.probes, self.set.report_left.is_some());
-        let long = in_row && silent > SHUT_LONG && (untold && (tells || !busy) || left >= SHUT_SOME && !busy);
-        let free = left >= SHUT_LEFT && silent > SHUT_SILENT;
-        if told > SHUT_SILENT || free && self.set.report_left.is_some() && told > Micros(0) {
+        let reported = |place: Option<usize>| place.map(|i| report.get(i).copied().unwrap_or(0.0));
+        let headroom = reported(self.settings.report_left).unwrap_or(0.0);
+        let headroom = if reported(self.settings.report_limit) == Some(0.0) { 1.0 } else { headroom };
+        let Some(route_id) = self.endpoints.get(&id).map(|e| e.route) else { return };
+        let Some(route) = self.routes.get_mut(&route_id) else { return };
+        let silence = now - route.last_accepted_at;
+        let in_a_row = route.send_rate.consecutive_refusals >= SHUT_REFUSALS_IN_A_ROW;
+        let no_limit_known = self.settings.weights == Weights::Off && route.wait_until == Micros(0);
+        let (may_probe, reports_headroom) =
+            (self.settings.limits.probes, self.settings.report_left.is_some());
+        let hangs = no_limit_known && (reports_headroom || !may_probe)
+            || headroom >= LIMIT_NOT_REACHED_HEADROOM && !may_probe;
+        let long = in_a_row && silence > LONG_SILENCE && hangs;
+        let limit_free = headroom >= SHUT_HEADROOM && silence > SHORT_SILENCE;
+        if told_wait > SHORT_SILENCE || limit_free && reports_headroom && told_wait > Micros(0) {
             self.outage_changes += 1;
-            (route.out_until, route.taken_at) = (now + OUT_MEMORY, Micros(0));
-            let opens = route.wait_until;
+            (route.recent_outage_until, route.last_accepted_at) = (now + OUTAGE_MEMORY, Micros(0));
+            let opens_at = route.wait_until;
             for sibling in self.siblings(id) {
                 let phase = uniform(&mut self.rng);
                 let Some(e) = self.endpoints.get_mut(&sibling) else { continue };
-                (e.health, e.credit, e.back_by) = (Health::Ramp { since: opens }, (opens, phase), opens);
+                e.health = Health::SlowStart { since: opens_at };
+                (e.credit, e.latest_return_at) = ((opens_at, phase), opens_at);
             }
-        } else if long || free && in_row {
-            self.take_out(now, id, actions);
-        } else if free && self.set.report_left.is_some() {
-            let rest = Micros::from_secs(REST_SHARE * uniform(&mut self.rng) / self.cold_rate(now, id));
-            self.routes.entry(at).and_modify(|r| r.pace.next_at = r.pace.next_at.max(now + rest));
+        } else if long || limit_free && in_a_row {
+            self.eject(now, id, actions);
+        } else if limit_free && reports_headroom {
+            let gaps = REFUSAL_PAUSE_GAPS * uniform(&mut self.rng);
+            let pause = Micros::from_secs(gaps / self.slow_start_rate(now, id));
+            let postpone =
+                |r: &mut Route| r.send_rate.next_call_at = r.send_rate.next_call_at.max(now + pause);
+            self.routes.entry(route_id).and_modify(postpone);
         }
     }
 
-    pub(super) fn probed(&mut self, now: Micros, id: EndpointId, how: Outcome, actions: &mut Vec<Action>) {
+    /// Records the outcome of a probe.
+    pub(super) fn record_probe(
+        &mut self, now: Micros, id: EndpointId, outcome: Outcome, actions: &mut Vec<Action>,
+    ) {
         let Some(e) = self.endpoints.get_mut(&id) else { return };
         e.last_heard = now;
-        // Danger: where others use its limit up a probe is told full for ever; who answers is up.
-        let up = matches!(how, Outcome::Ok | Outcome::Full(_));
+        // An endpoint that refuses does answer, so it is up. Where others use its limit up, probes may be
+        // refused for ever, and the endpoint would never return.
+        let up = matches!(outcome, Outcome::Ok | Outcome::Full(_));
         match e.health {
-            Health::HalfOpen if up => e.health = Health::Out { trial_at: now, probed: true },
-            Health::HalfOpen => self.take_out(now, id, actions),
+            Health::HalfOpen if up => e.health = Health::Ejected { trial_at: now, probed: true },
+            Health::HalfOpen => self.eject(now, id, actions),
             _ => {}
         }
     }
 
-    /// A probe asks first, where it may: it risks no message and no token.
-    pub(super) fn probe(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        if !self.set.limits.probes {
+    /// Probes the ejected endpoints whose trial is due, where probes are permitted: a probe risks no message
+    /// and no retry token. Only destinations with held messages are probed.
+    pub(super) fn send_probes(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if !self.settings.limits.probes {
             return;
         }
-        let wanted: BTreeSet<_> = self.held.values().map(|h| h.message.destination).collect();
+        let wanted: BTreeSet<_> = self.messages.values().map(|h| h.message.destination).collect();
         let routes = wanted.iter().flat_map(|d| self.routes_of(*d)).filter(|r| r.wait_until <= now);
-        let ids = routes.flat_map(|r| r.endpoints.iter().copied()).filter(|id| self.tries(now, *id, now));
+        let ids = routes.flat_map(|r| r.endpoints.iter().copied()).filter(|id| self.trial_due(now, *id, now));
         for id in ids.collect::<Vec<_>>() {
             let Some(e) = self.endpoints.get_mut(&id).filter(|e| e.listed == Listed::Ready) else { continue };
-            if matches!(e.health, Health::Out { trial_at, probed: false } if trial_at <= now) {
-                (e.health, e.tried_at) = (Health::HalfOpen, now);
-                self.routes.entry(e.route).or_default().pace.call(now, now);
+            if matches!(e.health, Health::Ejected { trial_at, probed: false } if trial_at <= now) {
+                (e.health, e.last_trial_at) = (Health::HalfOpen, now);
+                self.routes.entry(e.route).or_default().send_rate.record_call(now, now);
                 actions.push(Action::Probe(id));
             }
         }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,10 +1,10 @@
-//! Plain state and helpers of the module. No decision, no table and no tuned value: those are in `src/policy/`.
+//! Plain state and helpers of the sender. All decisions and tuned values are in `src/policy/`.
 
-mod parts;
-mod waiting;
+mod records;
+mod send_queue;
 
-pub(crate) use parts::*;
-pub(crate) use waiting::*;
+pub(crate) use records::*;
+pub(crate) use send_queue::*;
 
 use crate::api::*;
 use crate::shared::sharing::Beliefs;
@@ -15,95 +15,113 @@
 
 /// One sender: the whole state of one instance.
 pub struct Sender {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     pub(crate) rng: Pcg64Mcg,
-    pub(crate) reserve: Reserve,
+    pub(crate) retry_reserve: RetryReserve,
     pub(crate) destinations: BTreeMap<DestinationId, Destination>,
     pub(crate) routes: BTreeMap<RouteId, Route>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    pub(crate) held: BTreeMap<MessageId, Held>,
-    pub(crate) waiting: Waiting,
-    pub(crate) lanes: BTreeMap<Key, KeyLane>,
-    pub(crate) busy: usize,
-    /// Virtual clock of each tenant's share: when its traffic so far would have been within it.
-    pub(crate) shares: Vec<Micros>,
-    /// Messages asked by tenant, those with a quota, since the process began.
-    pub(crate) tenants_asked: Vec<u64>,
-    /// What couriers share, and when the parts of limits are to be looked at again.
+    pub(crate) messages: BTreeMap<MessageId, HeldMessage>,
+    pub(crate) send_queue: SendQueue,
+    /// Queues of the messages that keep their order, by key.
+    pub(crate) key_queues: BTreeMap<Key, KeyQueue>,
+    /// Calls in flight over all endpoints.
+    pub(crate) calls_in_flight: usize,
+    /// Virtual clock of each tenant's share: the time by which the traffic so far would be within the share.
+    pub(crate) tenant_clocks: Vec<Micros>,
+    /// Messages handed in per tenant with a quota since the process began.
+    pub(crate) tenant_demand_counts: Vec<u64>,
+    /// What the couriers share with each other.
     pub(crate) beliefs: Option<Arc<Beliefs>>,
-    pub(crate) heed_at: Option<Micros>,
-    /// Endpoints whose last call out has come back in this round.
-    pub(crate) quiet: Vec<EndpointId>,
-    pub(crate) hope: f64, // how often a call after a refusal is taken
+    /// When the leased fractions of limits have to be looked up again.
+    pub(crate) lease_update_at: Option<Micros>,
+    /// Endpoints whose last call in flight returned in this round.
+    pub(crate) newly_idle: Vec<EndpointId>,
+    /// Average fraction of the calls sent after a refusal that are accepted.
+    pub(crate) acceptance_after_refusal: f64,
     /// How long idle connections are trusted, by kind of destination.
-    pub(crate) keep: BTreeMap<KindId, Micros>,
-    /// What a former life found out or cold, and what was handed in there, until it is listed.
-    pub(crate) remembered: BTreeMap<EndpointId, (Outage, f64)>,
-    /// Endpoints that were found out, or back, so far.
+    pub(crate) idle_timeouts: BTreeMap<KindId, Micros>,
+    /// Outages that an earlier process run recorded, and the demand for their destinations in messages a
+    /// second; an entry is applied once its endpoint is listed.
+    pub(crate) earlier_outages: BTreeMap<EndpointId, (Outage, f64)>,
+    /// Count of the outages that began or ended so far.
     pub(crate) outage_changes: u64,
-    pub(crate) next_call: u64,
-    pub(crate) alarm_at: Option<Micros>,
-    pub(crate) ask_at: Option<Micros>,
-    pub(crate) ask_fails: u32,
-    pub(crate) log_at: Micros,
+    pub(crate) next_call_id: u64,
+    /// When the earliest pending timer fires.
+    pub(crate) timer_at: Option<Micros>,
+    /// When to request the endpoint list.
+    pub(crate) list_request_at: Option<Micros>,
+    /// Failed list requests in a row.
+    pub(crate) list_request_failures: u32,
+    /// No log line is written before this time.
+    pub(crate) next_log_at: Micros,
 }
 
 impl Sender {
-    /// A sender that knows nothing yet, with what its decisions start from.
-    pub(crate) fn start(settings: Settings, seed: u64, reserve: Reserve, hope: f64) -> Sender {
+    /// A sender that knows nothing yet, with the initial values of its decisions.
+    pub(crate) fn start(
+        settings: Settings, seed: u64, retry_reserve: RetryReserve, acceptance_after_refusal: f64,
+    ) -> Sender {
         Sender {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            shares: vec![Micros(0); settings.tenants.len()],
-            tenants_asked: vec![0; settings.tenants.len()],
+            tenant_clocks: vec![Micros(0); settings.tenants.len()],
+            tenant_demand_counts: vec![0; settings.tenants.len()],
             beliefs: None,
-            heed_at: None,
-            ask_at: (settings.discovery == DiscoveryMode::Subscribe).then_some(Micros(0)),
-            set: settings,
-            reserve,
+            lease_update_at: None,
+            list_request_at: (settings.discovery == DiscoveryMode::Subscribe).then_some(Micros(0)),
+            settings,
+            retry_reserve,
             destinations: BTreeMap::new(),
             routes: BTreeMap::new(),
             endpoints: BTreeMap::new(),
-            held: BTreeMap::new(),
-            waiting: Waiting::default(),
-            lanes: BTreeMap::new(),
-            busy: 0,
-            quiet: Vec::new(),
-            hope,
-            keep: BTreeMap::new(),
-            remembered: BTreeMap::new(),
+            messages: BTreeMap::new(),
+            send_queue: SendQueue::default(),
+            key_queues: BTreeMap::new(),
+            calls_in_flight: 0,
+            newly_idle: Vec::new(),
+            acceptance_after_refusal,
+            idle_timeouts: BTreeMap::new(),
+            earlier_outages: BTreeMap::new(),
             outage_changes: 0,
-            next_call: 0,
-            alarm_at: None,
-            ask_fails: 0,
-            log_at: Micros(0),
+            next_call_id: 0,
+            timer_at: None,
+            list_request_failures: 0,
+            next_log_at: Micros(0),
         }
     }
 
+    /// All routes of a destination.
     pub(crate) fn routes_of(&self, destination: DestinationId) -> impl Iterator<Item = &Route> {
         let from = self.routes.range((destination, None)..);
         from.take_while(move |(id, _)| id.0 == destination).map(|(_, route)| route)
     }
 
-    /// The endpoints that share a route. Danger (a broken rule): an outage mostly takes all of them, and
-    /// senders that had seen one fail pushed the destination over by the others; so one speaks for those not
-    /// heard lately, out and back. Harms where one endpoint fails: the others wait for a trial too. Those
-    /// of another rank are other machines, there to stand in.
+    /// The endpoints of the same route and rank, this one included.
+    ///
+    /// An outage mostly affects all of them. When senders that had seen one endpoint fail went on with the
+    /// others, they overloaded the destination. So one endpoint's ejection or return is applied to the
+    /// siblings that were not heard from lately. The cost: where a single endpoint fails, its siblings wait
+    /// for a trial too. Endpoints of another rank are other machines, there as stand-ins, and are not
+    /// affected.
     pub(crate) fn siblings(&self, id: EndpointId) -> Vec<EndpointId> {
         let Some(e) = self.endpoints.get(&id) else { return Vec::new() };
-        let same = |s: &EndpointId| self.endpoints.get(s).is_some_and(|s| s.rank == e.rank);
+        let same_rank = |s: &EndpointId| self.endpoints.get(s).is_some_and(|s| s.rank == e.rank);
         let route = self.routes.get(&e.route);
-        route.map_or(Vec::new(), |r| r.endpoints.iter().copied().filter(same).collect())
+        route.map_or(Vec::new(), |r| r.endpoints.iter().copied().filter(same_rank).collect())
     }
 
-    /// Changes each of those endpoints, this one among them.
-    pub(crate) fn each_sibling(&mut self, id: EndpointId, mut change: impl FnMut(EndpointId, &mut Endpoint)) {
+    /// Applies a change to each of the siblings, this endpoint included.
+    pub(crate) fn for_each_sibling(
+        &mut self, id: EndpointId, mut change: impl FnMut(EndpointId, &mut Endpoint),
+    ) {
         for sibling in self.siblings(id) {
             self.endpoints.get_mut(&sibling).into_iter().for_each(|e| change(sibling, e));
         }
     }
 
-    /// Endpoints that are gone with no call out are forgotten, and routes without endpoints; told waits stay.
-    pub(crate) fn forget_gone(&mut self, now: Micros) {
+    /// Drops endpoints that are no longer listed and have no call in flight, and routes without endpoints. A
+    /// route whose retry-after wait or recent outage still counts stays.
+    pub(crate) fn drop_gone_endpoints(&mut self, now: Micros) {
         let routes = &mut self.routes;
         self.endpoints.retain(|id, e| {
             let stays = e.listed != Listed::Gone || !e.calls.is_empty();
@@ -112,120 +130,133 @@
             }
             stays
         });
-        routes.retain(|_, r| !r.endpoints.is_empty() || r.wait_until.max(r.out_until) > now);
+        routes.retain(|_, r| !r.endpoints.is_empty() || r.wait_until.max(r.recent_outage_until) > now);
     }
 
-    /// Key lanes beyond those in use go, so many spared.
-    pub(crate) fn forget_lanes(&mut self, now: Micros, spared: usize) {
-        if self.lanes.len() > self.held.len() + spared {
-            self.lanes.retain(|_, lane| !lane.line.is_empty() || lane.rest_until > now);
+    /// Drops unused key queues once there are more than `spare` queues beyond the number of held messages.
+    pub(crate) fn drop_unused_key_queues(&mut self, now: Micros, spare: usize) {
+        if self.key_queues.len() > self.messages.len() + spare {
+            self.key_queues.retain(|_, queue| !queue.messages.is_empty() || queue.quiet_until > now);
         }
     }
 
-    /// How long one that returned stays cold.
-    pub(crate) fn cold(&self) -> Micros {
-        self.set.rules.cold.unwrap_or_default()
+    /// How long an endpoint stays in slow start after its return.
+    pub(crate) fn slow_start_duration(&self) -> Micros {
+        self.settings.rules.cold.unwrap_or_default()
     }
 
-    /// Whether the endpoint drops the message if an earlier attempt has run: it shares its key's group.
-    pub(crate) fn in_group(&self, held: &Held, id: EndpointId, e: &Endpoint) -> bool {
+    /// Whether the endpoint drops the message if an earlier attempt has run, as it belongs to the group that
+    /// remembers the message's key.
+    pub(crate) fn deduplicates_repeat(&self, held: &HeldMessage, id: EndpointId, e: &Endpoint) -> bool {
         let same_zone = |at| self.endpoints.get(&at).is_some_and(|a| a.zone == e.zone);
-        match (held.risk, held.effect) {
+        match (held.may_have_run, held.effect) {
             (Some((_, at)), Effect::Keyed { group: Group::Endpoint, .. }) => at == id,
             (Some((_, at)), Effect::Keyed { group: Group::Zone, .. }) => same_zone(at),
             _ => true,
         }
     }
 
-    /// How many messages wait, by destination.
+    /// Number of waiting messages by destination.
     pub(crate) fn waiting_by_destination(&self) -> BTreeMap<DestinationId, usize> {
         let mut waiting = BTreeMap::new();
-        for h in self.held.values().filter(|h| h.waits()) {
-            *waiting.entry(h.message.destination).or_default() += 1;
+        for held in self.messages.values().filter(|h| h.is_waiting()) {
+            *waiting.entry(held.message.destination).or_default() += 1;
         }
         waiting
     }
 
-    /// A message has had its end; it is kept until its attempt is back.
-    pub(crate) fn close(&mut self, id: MessageId) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        if held.out.is_some() {
+    /// Removes a message that has had its final answer; with an attempt in flight it is kept until that
+    /// returns.
+    pub(crate) fn finish(&mut self, id: MessageId) {
+        let Some(held) = self.messages.get_mut(&id) else { return };
+        if held.in_flight.is_some() {
             held.ended = true;
             return;
         }
-        if let Some(lane) = held.message.key.and_then(|k| self.lanes.get_mut(&k)) {
-            lane.line.retain(|m| *m != id);
+        if let Some(queue) = held.message.key.and_then(|k| self.key_queues.get_mut(&k)) {
+            queue.messages.retain(|m| *m != id);
         }
-        self.waiting.forget(held);
-        self.held.remove(&id);
+        self.send_queue.forget(held);
+        self.messages.remove(&id);
     }
 
-    /// Slots that are not taken.
-    pub(crate) fn free(&self) -> usize {
-        (self.set.limits.slots.unwrap_or(u32::MAX) as usize).saturating_sub(self.busy)
+    /// Number of free call slots.
+    pub(crate) fn free_slots(&self) -> usize {
+        (self.settings.limits.slots.unwrap_or(u32::MAX) as usize).saturating_sub(self.calls_in_flight)
     }
 
-    /// Until when a destination has told to wait, by all of its routes. For overviews; decides nothing.
+    /// Until when a destination told the sender to wait: the earliest over its routes. For overviews only; no
+    /// decision uses it.
     pub fn told_wait(&self, destination: DestinationId) -> Micros {
         self.routes_of(destination).map(|r| r.wait_until).min().unwrap_or_default()
     }
 
-    pub(crate) fn log(&mut self, now: Micros, id: EndpointId, what: &str, actions: &mut Vec<Action>) {
-        if let (true, Some(e)) = (self.log_at <= now, self.endpoints.get(&id)) {
-            self.log_at = now + SECOND;
+    /// Logs a line about an endpoint, at most one line a second over all endpoints.
+    pub(crate) fn log_endpoint(
+        &mut self, now: Micros, id: EndpointId, what: &str, actions: &mut Vec<Action>,
+    ) {
+        if let (true, Some(e)) = (self.next_log_at <= now, self.endpoints.get(&id)) {
+            self.next_log_at = now + SECOND;
             actions.push(Action::Log(format!("destination {}: endpoint {id} {what}", e.route.0 .0)));
         }
     }
 
-    /// A call of the process before holds a slot, and its endpoint, until its outcome comes.
-    pub(crate) fn still_out(&mut self, id: MessageId, at: EndpointId, sent: Micros) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        self.waiting.forget(held);
-        let call = self.next_call;
-        self.next_call += 1;
-        self.busy += 1;
+    /// Records a call that the previous process began: it holds a slot, and its endpoint, until its outcome
+    /// comes.
+    pub(crate) fn restore_call(&mut self, id: MessageId, at: EndpointId, sent_at: Micros) {
+        let Some(held) = self.messages.get_mut(&id) else { return };
+        self.send_queue.forget(held);
+        let call = self.next_call_id;
+        self.next_call_id += 1;
+        self.calls_in_flight += 1;
         let endpoint = self.endpoints.entry(at).or_default();
-        if let Health::Out { .. } = endpoint.health {
+        if let Health::Ejected { .. } = endpoint.health {
             endpoint.health = Health::HalfOpen;
         }
-        endpoint.calls.insert(call, Call { sent, left: 1, heard: false });
-        self.routes.entry(endpoint.route).or_default().out += 1;
-        held.out = Some(Out { endpoint: at, call, sent, attempt: held.tries.saturating_sub(1) as u8 });
+        endpoint.calls.insert(call, Call { sent_at, pending_outcomes: 1, has_outcome: false });
+        self.routes.entry(endpoint.route).or_default().calls_in_flight += 1;
+        let number = held.attempts.saturating_sub(1) as u8;
+        held.in_flight = Some(Attempt { endpoint: at, call, sent_at, number });
     }
 }
 
-/// A message of a call has its outcome; the call's slot is free once all have. Whether it is the first of them, and
-/// `None` for a call that is not known.
-pub(crate) fn call_over(
-    e: &mut Endpoint, route: &mut Route, out: &Out, busy: &mut usize, quiet: &mut Vec<EndpointId>,
+/// Records that one message of a call has its outcome; the call's slot is free once all messages have theirs.
+/// Returns whether this outcome is the call's first, and `None` for an unknown call.
+pub(crate) fn record_call_outcome(
+    e: &mut Endpoint, route: &mut Route, attempt: &Attempt, calls_in_flight: &mut usize,
+    newly_idle: &mut Vec<EndpointId>,
 ) -> Option<bool> {
-    let call = e.calls.get_mut(&out.call)?;
-    call.left -= 1;
-    let first = !std::mem::replace(&mut call.heard, true);
-    if call.left == 0 {
-        e.calls.remove(&out.call);
-        route.out -= 1;
-        *busy -= 1;
-        quiet.push(out.endpoint);
+    let call = e.calls.get_mut(&attempt.call)?;
+    call.pending_outcomes -= 1;
+    let first = !std::mem::replace(&mut call.has_outcome, true);
+    if call.pending_outcomes == 0 {
+        e.calls.remove(&attempt.call);
+        route.calls_in_flight -= 1;
+        *calls_in_flight -= 1;
+        newly_idle.push(attempt.endpoint);
     }
     Some(first)
 }
 
-pub(crate) fn push_within(times: &mut VecDeque<Micros>, now: Micros, span: Micros) {
+/// Appends `now` and drops the times that are older than `span`.
+pub(crate) fn push_recent(times: &mut VecDeque<Micros>, now: Micros, span: Micros) {
     times.push_back(now);
     while times.front().is_some_and(|t| *t + span < now) {
         times.pop_front();
     }
 }
 
-/// A sender's own demand at a destination: messages handed in over the last `span`, one at least, by second.
-pub(crate) fn own_rate(
+/// This sender's own demand for a destination in messages a second: messages handed in within the last
+/// `span`, counted as one at least.
+pub(crate) fn demand_rate(
     destinations: &BTreeMap<DestinationId, Destination>, now: Micros, id: DestinationId, span: Micros,
 ) -> f64 {
-    let recent = |d: &Destination| d.asked.len() - d.asked.partition_point(|t| *t + span < now);
+    let recent =
+        |d: &Destination| d.recent_demand.len() - d.recent_demand.partition_point(|t| *t + span < now);
     destinations.get(&id).map_or(0, recent).max(1) as f64 / span.secs()
 }
 
+/// A random number from 0 (included) to 1 (excluded).
 pub(crate) fn uniform(rng: &mut Pcg64Mcg) -> f64 {
     (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
 }
