--- a/lab/src/deployments/play.rs
+++ b/lab/src/deployments/play.rs
@@ -159,7 +159,7 @@
             Event::Over(call) => self.over(call),
             Event::Told(msg) => {
                 self.seen.told(msg);
-                self.core.report(now, Report::Told(msg));
+                self.core.report(now, Report::NoticeDelivered(msg));
             }
             Event::Whole => self.whole(),
             Event::Changes => self.changes(),
@@ -171,7 +171,7 @@
             Event::Noted => {
                 let names: Vec<String> = self.seen.lines.keys().cloned().collect();
                 let name = names[self.rng.random_range(0..names.len())].clone();
-                self.core.noted(now, PeerId(1), &Note::Back(name));
+                self.core.noted(now, PeerId(1), &Note::EndpointRecovered(name));
             }
         }
     }
@@ -207,7 +207,7 @@
                 let at = self.millis(1.0, 50.0);
                 self.after(at, Event::Told(notice.msg));
             }
-            Order::Watch | Order::ReadList(_) => {
+            Order::WatchList | Order::ReadList(_) => {
                 let at = self.millis(1.0, 100.0);
                 self.after(at, Event::Whole);
             }
@@ -220,7 +220,7 @@
                 self.seen.noted(now);
                 self.after(Micros(1_000), Event::Noted);
             }
-            Order::LetGo(_) | Order::Nothing => {}
+            Order::CloseIdle(_) | Order::Nothing => {}
         }
     }
 
@@ -280,7 +280,7 @@
         let mut held_back = Vec::new();
         for fetch in std::mem::take(&mut call.fetches) {
             match self.core.report(now, Report::Begin(fetch.clone())) {
-                Answer::Go(true) => stay.push(fetch),
+                Answer::MayBegin(true) => stay.push(fetch),
                 _ => held_back.push(fetch),
             }
         }
--- a/lab/src/virtual_time/mod.rs
+++ b/lab/src/virtual_time/mod.rs
@@ -257,7 +257,7 @@
             Event::Heartbeat(n, life) => {
                 let now = self.now;
                 if let Some(l) = self.life(n, life).filter(|l| l.watching) {
-                    l.core.report(now, Report::ListHeard(0));
+                    l.core.report(now, Report::ListUnchanged(0));
                     self.settle(n);
                     self.at(now + HEARTBEAT, Event::Heartbeat(n, life));
                 }
@@ -369,7 +369,7 @@
         self.put(Fact::Told { msg, by: n, harmless: wait.is_some() });
         // A life that has ended meanwhile tells it once more; the platform takes that without harm.
         if let Some(life) = self.life(n, life) {
-            life.core.report(now, Report::Told(id));
+            life.core.report(now, Report::NoticeDelivered(id));
             self.settle(n);
         }
         if self.messages[msg as usize].holder.take().is_some() {
@@ -530,7 +530,7 @@
         let Some(life) = self.life(n, number) else { return };
         life.watching = true;
         if only {
-            life.core.report(now, Report::ListHeard(0));
+            life.core.report(now, Report::ListUnchanged(0));
             return self.settle(n);
         }
         for endpoint in 0..self.states.len() as EndpointNo {
@@ -600,11 +600,11 @@
                 let at = self.now + self.hop();
                 self.at(at, Event::Noticed(n, number, msg, number_of(&req.id), wait));
             }
-            Order::Watch | Order::ReadList(_) => {
+            Order::WatchList | Order::ReadList(_) => {
                 let at = self.now + self.hop() + self.hop();
                 self.at(at, Event::Whole(n, number));
             }
-            Order::LetGo(backend) => {
+            Order::CloseIdle(backend) => {
                 let endpoint = endpoint_of(&backend.name);
                 let idle = life.idle.remove(&endpoint).unwrap_or_default();
                 idle.iter().for_each(|_| self.world.disconnect(endpoint));
@@ -659,7 +659,7 @@
         out.stage = Stage::Connected;
         let (fetch, to) = (out.fetch.clone(), out.to);
         let in_time = now < fetch.until;
-        if !in_time || life.core.report(now, Report::Begin(fetch.clone())) != Answer::Go(true) {
+        if !in_time || life.core.report(now, Report::Begin(fetch.clone())) != Answer::MayBegin(true) {
             return self.finish(n, key.0, key.1, End::Unsent, true);
         }
         let call = self.next_call;
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -236,7 +236,7 @@
             register: self.courier.phase(platform::FRONT).name().into(),
             owed: self.courier.owed() as u64,
             backends: self.courier.backends() as u64,
-            ending: self.courier.ending(),
+            ending: self.courier.is_stopping(),
             clients: self.doors.iter().flat_map(|d| d.tallies()).map(|(n, t)| (n.to_owned(), t)).collect(),
             drains,
             shared: self.shared.as_ref().map(|shared| shared.json(self.courier.clock.now())),
--- a/src/control/shape.rs
+++ b/src/control/shape.rs
@@ -246,7 +246,7 @@
     /// A drain as it is shown.
     pub fn drain(&self, progress: &Progress, now: Micros) -> DrainShape {
         let drain = &progress.drain;
-        let state = match (drain.stage, progress.empty()) {
+        let state = match (drain.stage, progress.is_empty()) {
             (Stage::Draining, false) => "draining",
             (Stage::Draining, true) => "emptied",
             (Stage::Struck, false) => "struck",
@@ -271,7 +271,7 @@
             left: counts(&progress.left),
             by_class: by_class.iter().map(|(name, c)| (name.clone(), counts(c))).collect(),
             by_dest: progress.by_dest.iter().map(|(dest, c)| (*dest, counts(c))).collect(),
-            told_until_ms: progress.told_until.map(|at| at.0 / 1000),
+            told_until_ms: progress.retry_after_until.map(|at| at.0 / 1000),
             estimate_s: progress.estimate.map(|e| {
                 let high = Some(e.high_s).filter(|s| s.is_finite());
                 (e.likely_s, e.low_s, high)
--- a/src/core/asked.rs
+++ b/src/core/asked.rs
@@ -143,13 +143,13 @@
     pub fn place(&self, id: &str) -> Option<Place> {
         let now = self.clock.now();
         let state = self.state();
-        state.decides().then(|| state.place(now, id))
+        state.is_active().then(|| state.place(now, id))
     }
 
     /// All that is held, in no order; `None`: another process has taken over, or is about to.
     pub fn held(&self) -> Option<Vec<Held>> {
         let state = self.state();
-        if !state.decides() {
+        if !state.is_active() {
             return None;
         }
         let held = |(msg, held): (&u64, &super::PendingMessage)| {
--- a/src/core/batches.rs
+++ b/src/core/batches.rs
@@ -163,7 +163,7 @@
         };
         let backend = Arc::new(Backend { name: "b".into(), addr: "127.0.0.1:1".parse().unwrap() });
         let at = EndpointId { addr: [0; 4], port: 0 };
-        Fetch { msg, attempt: 0, at, backend, req: Arc::new(req), until: Micros(until_ms * 1_000) }
+        Fetch { msg, attempt: 0, endpoint: at, backend, req: Arc::new(req), until: Micros(until_ms * 1_000) }
     }
 
     #[test]
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -10,7 +10,7 @@
     /// is its answer, not an order.
     pub(super) fn feed(&mut self, now: Micros, events: &[Event], asking: &mut [(u64, Option<Verdict>)]) {
         let (mut actions, mut never_sent, mut tries) = (Vec::new(), Vec::new(), Vec::new());
-        self.look_at_desk(now);
+        self.exchange_with_fleet(now);
         self.policy.handle(now, events, &mut actions);
         for action in actions {
             match action {
@@ -29,10 +29,10 @@
                     let at = now + after;
                     self.next_timer_at = Some(self.next_timer_at.map_or(at, |a| a.min(at)));
                 }
-                Action::Follow | Action::Fetch => self.order(Order::Watch),
+                Action::Follow | Action::Fetch => self.order(Order::WatchList),
                 Action::LetGo(endpoint) => {
                     if let Some(backend) = self.backends.get(&endpoint) {
-                        self.order(Order::LetGo(backend.clone()));
+                        self.order(Order::CloseIdle(backend.clone()));
                     }
                 }
                 Action::Log(words) => tracing::info!(target: "decisions", "{words}"),
@@ -60,7 +60,7 @@
             held.in_flight = true;
             let until = now;
             let goes = self.register.book(req.front, now).call(now, &backend.name, msg);
-            let fetch = Fetch { msg, attempt, at, backend, req, until };
+            let fetch = Fetch { msg, attempt, endpoint: at, backend, req, until };
             if goes {
                 call.push((fetch, cap));
             } else {
@@ -114,7 +114,7 @@
             return;
         }
         // Nobody waits for an answer to one that is sent again: its run looks after it.
-        if self.replays.is(msg) {
+        if self.replays.contains(msg) {
             return;
         }
         self.journal.verdict(msg, verdict);
@@ -134,13 +134,13 @@
         let _ = self.order_sender.send(order);
     }
 
-    pub(super) fn forget(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
+    pub(super) fn end_message(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
         self.journal.end(msg, now);
-        self.forgotten(now, msg, ended);
+        self.message_ended(now, msg, ended);
     }
 
     /// The journal has its end.
-    pub(super) fn forgotten(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
+    pub(super) fn message_ended(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
         if let Some(held) = self.messages.get(&msg) {
             if let Some(ended) = ended {
                 self.figures.count(ended, held.req.class);
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -14,11 +14,11 @@
 
 const FILE: Sealed = Sealed { name: "drains", magic: "indigohold-drains", version: 1 };
 /// Room for that file in the folder that lasts, the one before and the one being written counted.
-pub const ROOM: u64 = 128 * 1024;
-/// The longest time that a client is told to stay away where the settings name none.
+pub const RESERVED_DISK_BYTES: u64 = 128 * 1024;
+/// The max_retry_after time that a client is told to stay away where the settings name none.
 const LONGEST: Micros = Micros(60_000_000);
 /// Fronts are numbered from 0.
-pub(super) const FRONTS: usize = 2;
+pub(super) const FRONT_COUNT: usize = 2;
 
 /// The core's part in drains.
 pub(super) struct Draining {
@@ -27,7 +27,7 @@
     dir: Option<PathBuf>,
     ends: BTreeMap<u64, Ends>,
     effects: Vec<Effect>,
-    pub(super) longest: Micros,
+    pub(super) max_retry_after: Micros,
     own: Option<u16>,
 }
 
@@ -72,14 +72,14 @@
     /// And by destination.
     pub by_dest: BTreeMap<u16, Counts>,
     /// Until when the last of the destinations concerned has told to wait, if any has.
-    pub told_until: Option<Micros>,
+    pub retry_after_until: Option<Micros>,
     /// When it should be over; `None`: nothing has ended yet.
     pub estimate: Option<Estimate>,
 }
 
 impl Progress {
     /// Nothing is left that is owed anything.
-    pub fn empty(&self) -> bool {
+    pub fn is_empty(&self) -> bool {
         self.left.total == 0
     }
 }
@@ -90,7 +90,7 @@
 
 impl Draining {
     pub(super) fn new(
-        dir: Option<&Path>, effects: Vec<Effect>, longest: Option<Micros>, own: Option<u16>,
+        dir: Option<&Path>, effects: Vec<Effect>, max_retry_after: Option<Micros>, own: Option<u16>,
     ) -> Draining {
         let mut drains = Drains::default();
         if let Some(dir) = dir {
@@ -101,15 +101,15 @@
         for drain in drains.on() {
             tracing::info!(target: "drain", drain = drain.id, "a drain goes on from an earlier life");
         }
-        let (dir, longest) = (dir.map(Path::to_owned), longest.unwrap_or(LONGEST));
-        Draining { drains, dir, ends: BTreeMap::new(), effects, longest, own }
+        let (dir, max_retry_after) = (dir.map(Path::to_owned), max_retry_after.unwrap_or(LONGEST));
+        Draining { drains, dir, ends: BTreeMap::new(), effects, max_retry_after, own }
     }
 
-    pub(super) fn turns_away(&self, now: Micros, req: &Req) -> Option<TurnAway> {
+    pub(super) fn refusal(&self, now: Micros, req: &Req) -> Option<TurnAway> {
         if self.own == Some(req.class) {
             return None;
         }
-        self.drains.turns_away(now, &marks(req), self.longest)
+        self.drains.turns_away(now, &marks(req), self.max_retry_after)
     }
 
     pub(super) fn may_begin(&self, now: Micros, req: &Req) -> bool {
@@ -150,8 +150,8 @@
 
 impl Core {
     /// Strikes what is due. In a life that begins it also goes on with what an earlier one had begun.
-    pub(super) fn strike(&mut self, now: Micros, resuming: bool) {
-        if !self.decides() {
+    pub(super) fn apply_due_drains(&mut self, now: Micros, resuming: bool) {
+        if !self.is_active() {
             return;
         }
         let mut due = self.draining.drains.strike(now);
@@ -170,7 +170,7 @@
             let open = |m: &super::PendingMessage| !m.decided && own != Some(m.req.class);
             let found = self.messages.iter().filter(|(msg, m)| {
                 // What is sent again is owed to nobody.
-                open(m) && !self.replays.is(**msg) && drain.scope.covers(&marks(&m.req))
+                open(m) && !self.replays.contains(**msg) && drain.scope.covers(&marks(&m.req))
             });
             let found: Vec<(u64, u16)> = found.map(|(msg, m)| (*msg, m.req.class)).collect();
             for (msg, class) in found {
@@ -230,8 +230,8 @@
         if matches!(drain.stage, Stage::Cancelled | Stage::Closed) {
             self.draining.ends.remove(&drain.id);
         }
-        let told_until = waits.into_values().filter(|at| *at > now).max();
-        Progress { drain, left, by_class, by_dest, told_until, estimate }
+        let retry_after_until = waits.into_values().filter(|at| *at > now).max();
+        Progress { drain, left, by_class, by_dest, retry_after_until, estimate }
     }
 }
 
@@ -241,11 +241,11 @@
         let now = self.clock.now();
         let mut state = self.state();
         // What is due has struck, whoever looks first.
-        state.strike(now, false);
+        state.apply_due_drains(now, false);
         let held = state.messages.values().filter(|m| wish.scope.covers(&marks(&m.req))).count() as u64;
-        let ending = state.stop_at.is_some() || !state.decides();
+        let ending = state.stop_at.is_some() || !state.is_active();
         let started = state.draining.change(|drains| drains.start(now, wish, ending, held))?;
-        self.flag(&state);
+        self.update_closed_fronts(&state);
         let drain = state.draining.drains.get(started.id).cloned().ok_or(Refusal::Unknown)?;
         tracing::info!(
             target: "drain", drain = drain.id, by_ms = drain.by / 1000, again = started.again, held,
@@ -269,14 +269,14 @@
     ) -> Result<Progress, Refusal> {
         let now = self.clock.now();
         let mut state = self.state();
-        if !state.decides() {
+        if !state.is_active() {
             return Err(Refusal::Ending);
         }
-        state.strike(now, false);
+        state.apply_due_drains(now, false);
         let drain = state.draining.drains.get(id).cloned().ok_or(Refusal::Unknown)?;
         let left = state.progress(now, drain).left.total;
         state.draining.change(|drains| by(drains, now, left))?;
-        self.flag(&state);
+        self.update_closed_fronts(&state);
         tracing::info!(target: "drain", drain = id, left, "{words}");
         let drain = state.draining.drains.get(id).cloned().ok_or(Refusal::Unknown)?;
         let progress = state.progress(now, drain);
@@ -303,28 +303,28 @@
     }
 
     /// Where clients may go that a drain turns away.
-    pub fn elsewhere(&self, drain: u64) -> Option<String> {
+    pub fn alternative_address(&self, drain: u64) -> Option<String> {
         self.state().draining.drains.get(drain)?.elsewhere.clone()
     }
 
     /// A front takes nothing on: its sessions end between requests. Asked for each request, so without the lock.
-    pub fn shut(&self, front: u8) -> bool {
-        self.shut.get(usize::from(front)).is_some_and(|s| s.load(Ordering::Relaxed))
+    pub fn front_closed(&self, front: u8) -> bool {
+        self.closed_fronts.get(usize::from(front)).is_some_and(|s| s.load(Ordering::Relaxed))
     }
 
-    pub(super) fn flag(&self, state: &Core) {
-        for (front, shut) in self.shut.iter().enumerate() {
+    pub(super) fn update_closed_fronts(&self, state: &Core) {
+        for (front, shut) in self.closed_fronts.iter().enumerate() {
             shut.store(state.draining.drains.shuts(front as u8), Ordering::Relaxed);
         }
     }
 
     /// The process has been told to end.
-    pub fn ending(&self) -> bool {
+    pub fn is_stopping(&self) -> bool {
         self.state().stop_at.is_some()
     }
 }
 
 /// Flags of all fronts, none shut.
-pub(super) fn none_shut() -> [AtomicBool; FRONTS] {
-    [const { AtomicBool::new(false) }; FRONTS]
+pub(super) fn all_fronts_open() -> [AtomicBool; FRONT_COUNT] {
+    [const { AtomicBool::new(false) }; FRONT_COUNT]
 }
--- a/src/core/ending.rs
+++ b/src/core/ending.rs
@@ -16,7 +16,7 @@
 
     /// The same for the members of a batch, each by itself, with one write of the journal for all that go.
     pub(super) fn begin_all(&mut self, now: Micros, fetches: &[Fetch]) -> Vec<bool> {
-        if !self.decides() {
+        if !self.is_active() {
             return vec![false; fetches.len()];
         }
         self.begin_together(now, fetches)
@@ -25,15 +25,15 @@
     fn begin_together(&mut self, now: Micros, fetches: &[Fetch]) -> Vec<bool> {
         let mut reasons: Vec<Option<Withheld>> =
             fetches.iter().map(|fetch| self.withheld(now, fetch)).collect();
-        let is_replay = |fetch: &Fetch| self.replays.is(fetch.msg);
+        let is_replay = |fetch: &Fetch| self.replays.contains(fetch.msg);
         let first_calls =
             fetches.iter().zip(&reasons).filter(|(fetch, why)| why.is_none() && !is_replay(fetch));
         let attempts: Vec<(u64, &str)> =
             first_calls.map(|(fetch, _)| (fetch.msg, fetch.backend.name.as_str())).collect();
         let recorded = self.journal.begin_all(now, &attempts).is_ok();
         for (fetch, why) in fetches.iter().zip(&mut reasons).filter(|(_, why)| why.is_none()) {
-            let goes = match self.replays.is(fetch.msg) {
-                true => self.begin_replay(now, fetch.msg),
+            let goes = match self.replays.contains(fetch.msg) {
+                true => self.claim_replay(now, fetch.msg),
                 false => recorded,
             };
             *why = (!goes).then_some(Withheld::NotRecorded);
@@ -62,15 +62,15 @@
             (Withheld::NotListed, !listed),
             (Withheld::Drain, !self.draining.may_begin(now, &fetch.req)),
             (Withheld::ToldToWait, told_wait),
-            (Withheld::Policy, !self.policy.may_begin(now, MessageId(fetch.msg), fetch.at)),
+            (Withheld::Policy, !self.policy.may_begin(now, MessageId(fetch.msg), fetch.endpoint)),
         ];
         conditions.into_iter().find(|(_, holds)| *holds).map(|(why, _)| why)
     }
 
     /// Fetches are over: written down together, and one round of the module on all of them, in their order.
     pub(super) fn done(&mut self, now: Micros, all: Vec<FinishedFetch>) {
-        if !self.decides() {
-            return self.over_aside(all);
+        if !self.is_active() {
+            return self.complete_while_inactive(all);
         }
         let (mut events, mut rejected) = (Vec::with_capacity(all.len()), Vec::new());
         self.journal.gather();
@@ -89,8 +89,8 @@
     pub(super) fn one_done(
         &mut self, now: Micros, over: FinishedFetch, events: &mut Vec<Event>, rejected: &mut Vec<u64>,
     ) {
-        if self.replays.is(over.fetch.msg) {
-            return self.replay_over(now, over, events);
+        if self.replays.contains(over.fetch.msg) {
+            return self.finish_replay(now, over, events);
         }
         let FinishedFetch { fetch, end, latency, load, said } = over;
         self.note_over(&fetch, end, latency);
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -14,7 +14,7 @@
 
 /// What another process needs beside the journal.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Passed {
+pub struct HandoverState {
     /// The module's names for backends, by front.
     names: Vec<(u8, String, EndpointId)>,
     next_name: u32,
@@ -27,7 +27,7 @@
 
 /// How a call ended that was out when its process left.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct CallOver {
+pub struct CompletedCall {
     /// The message.
     pub msg: u64,
     /// How it ended.
@@ -41,33 +41,33 @@
 }
 
 /// What happened while the core was frozen.
-pub(super) enum Later {
+pub(super) enum Deferred {
     Report(Report),
-    Over(Vec<FinishedFetch>),
+    Completed(Vec<FinishedFetch>),
     Probed(Event),
 }
 
 /// Whether the core decides.
-pub(super) enum Mode {
+pub(super) enum Ownership {
     /// It does.
-    Decides,
+    Active,
     /// Not now: this waits.
-    Frozen(Vec<Later>),
+    Frozen(Vec<Deferred>),
     /// Never again: another process does, and hears of the calls that are still out, so many; nobody tells it more after the last.
-    Left { to: Option<Sender<CallOver>>, out: usize },
+    HandedOver { to: Option<Sender<CompletedCall>>, out: usize },
 }
 
 impl Core {
-    pub(super) fn decides(&self) -> bool {
-        matches!(self.mode, Mode::Decides)
+    pub(super) fn is_active(&self) -> bool {
+        matches!(self.mode, Ownership::Active)
     }
 
     /// Nothing begins and nothing is decided from here on.
-    fn freeze(&mut self) -> Passed {
-        self.mode = Mode::Frozen(Vec::new());
+    fn freeze(&mut self) -> HandoverState {
+        self.mode = Ownership::Frozen(Vec::new());
         self.sharing_state.pause();
         let names = self.endpoint_ids.iter().map(|((front, name), at)| (*front, name.clone(), *at)).collect();
-        Passed {
+        HandoverState {
             names,
             next_name: self.next_endpoint_number,
             module: self.policy.carry(),
@@ -78,66 +78,66 @@
 
     /// As if nothing had been; what waited is taken in.
     fn thaw(&mut self, now: Micros) {
-        let Mode::Frozen(waited) = std::mem::replace(&mut self.mode, Mode::Decides) else { return };
-        self.sharing_state.go_on();
+        let Ownership::Frozen(waited) = std::mem::replace(&mut self.mode, Ownership::Active) else { return };
+        self.sharing_state.resume();
         for later in waited {
             match later {
-                Later::Report(what) => drop(self.report(now, what)),
-                Later::Over(all) => self.done(now, all),
-                Later::Probed(event) => self.probe_over(now, event),
+                Deferred::Report(what) => drop(self.report(now, what)),
+                Deferred::Completed(all) => self.done(now, all),
+                Deferred::Probed(event) => self.probe_over(now, event),
             }
         }
     }
 
     /// Another process owns the journal from here on.
-    fn leave(&mut self, to: Sender<CallOver>) {
+    fn hand_over(&mut self, to: Sender<CompletedCall>) {
         let begun = |(msg, m): &(&u64, &PendingMessage)| {
             m.in_flight && self.journal.owed().get(*msg).is_some_and(|o| o.open.is_some())
         };
         let out = self.messages.iter().filter(begun).count();
-        let left = Mode::Left { to: Some(to).filter(|_| out > 0), out };
-        let Mode::Frozen(waited) = std::mem::replace(&mut self.mode, left) else { return };
+        let left = Ownership::HandedOver { to: Some(to).filter(|_| out > 0), out };
+        let Ownership::Frozen(waited) = std::mem::replace(&mut self.mode, left) else { return };
         self.history = None;
         self.replays.end();
         for later in waited {
-            if let Later::Over(all) = later {
+            if let Deferred::Completed(all) = later {
                 self.tell_over(all);
             }
         }
     }
 
     /// What happens to a core that does not decide.
-    pub(super) fn set_aside(&mut self, what: Report) -> Answer {
+    pub(super) fn report_while_inactive(&mut self, what: Report) -> Answer {
         match what {
-            Report::Begin(_) => return Answer::Go(false),
+            Report::Begin(_) => return Answer::MayBegin(false),
             Report::Req(_) => return Answer::Refused(self.stay_away()),
             Report::Done { fetch, end, latency, load, said } => {
-                self.over_aside(vec![FinishedFetch { fetch, end, latency, load, said }]);
+                self.complete_while_inactive(vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
             what => {
-                if let Mode::Frozen(waited) = &mut self.mode {
-                    waited.push(Later::Report(what));
+                if let Ownership::Frozen(waited) = &mut self.mode {
+                    waited.push(Deferred::Report(what));
                 }
             }
         }
-        Answer::Noted
+        Answer::Acknowledged
     }
 
-    pub(super) fn over_aside(&mut self, all: Vec<FinishedFetch>) {
+    pub(super) fn complete_while_inactive(&mut self, all: Vec<FinishedFetch>) {
         match &mut self.mode {
-            Mode::Frozen(waited) => waited.push(Later::Over(all)),
+            Ownership::Frozen(waited) => waited.push(Deferred::Completed(all)),
             _ => self.tell_over(all),
         }
     }
 
     /// A call that had begun is told; of one that had not the other process has never heard.
     fn tell_over(&mut self, all: Vec<FinishedFetch>) {
-        let Mode::Left { to, out } = &mut self.mode else { return };
+        let Ownership::HandedOver { to, out } = &mut self.mode else { return };
         for FinishedFetch { fetch, end, latency, load, said } in all {
             let begun = self.journal.owed().get(&fetch.msg).is_some_and(|owed| owed.open.is_some());
             if begun && self.messages.get_mut(&fetch.msg).is_some_and(|m| std::mem::take(&mut m.in_flight)) {
                 // An error says that the other process is gone; the journal says what may have run.
-                let over = CallOver { msg: fetch.msg, end, latency, load, said };
+                let over = CompletedCall { msg: fetch.msg, end, latency, load, said };
                 let _ = to.as_ref().map(|to| to.send(over));
                 *out = out.saturating_sub(1);
             }
@@ -148,7 +148,7 @@
     }
 
     /// Goes on with what another process passed.
-    pub(super) fn go_on_with(&mut self, passed: &mut Passed) {
+    pub(super) fn import_handover(&mut self, passed: &mut HandoverState) {
         self.next_endpoint_number = self.next_endpoint_number.max(passed.next_name);
         for (front, name, at) in passed.names.drain(..) {
             self.endpoint_ids.insert((front, name), at);
@@ -157,7 +157,7 @@
     }
 
     /// Takes up what the journal says is owed. Calls that it calls open are still out in the process that handed over.
-    pub(super) fn resume(&mut self, now: Micros, passed: Option<&Passed>) {
+    pub(super) fn resume(&mut self, now: Micros, passed: Option<&HandoverState>) {
         let owed = self.journal.owed().clone();
         let mut events = Vec::new();
         for (id, owed) in owed {
@@ -203,7 +203,8 @@
                     let backend =
                         Arc::new(Backend { name, addr: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)) });
                     let until = req.due;
-                    self.predecessor_fetches.insert(id, Fetch { msg: id, attempt, at, backend, req, until });
+                    self.predecessor_fetches
+                        .insert(id, Fetch { msg: id, attempt, endpoint: at, backend, req, until });
                 }
                 None => {
                     let risk = owed.risk.map(|(at, name)| (at, self.intern(req.front, &name)));
@@ -220,8 +221,8 @@
 }
 
 impl Courier {
-    /// Nothing begins and nothing is decided until [`Courier::thaw`] or [`Courier::leave`]; what another process needs.
-    pub fn freeze(&self) -> Passed {
+    /// Nothing begins and nothing is decided until [`Courier::thaw`] or [`Courier::hand_over`]; what another process needs.
+    pub fn freeze(&self) -> HandoverState {
         self.state().freeze()
     }
 
@@ -232,26 +233,26 @@
     }
 
     /// Another process decides from here on; the ends of calls that are out go to `to`.
-    pub fn leave(&self, to: Sender<CallOver>) {
-        self.state().leave(to);
+    pub fn hand_over(&self, to: Sender<CompletedCall>) {
+        self.state().hand_over(to);
         // Danger: the history's thread may be writing. Whoever waits for it may not hold the state.
-        self.past.iter().for_each(|shelf| shelf.let_go());
+        self.history.iter().for_each(|shelf| shelf.let_go());
     }
 
     /// Whether another process decides.
-    pub fn left(&self) -> bool {
-        matches!(self.state().mode, Mode::Left { .. })
+    pub fn has_handed_over(&self) -> bool {
+        matches!(self.state().mode, Ownership::HandedOver { .. })
     }
 
     /// A call that another process carried out is over.
-    pub fn call_over(&self, over: CallOver) {
-        let CallOver { msg, end, latency, load, said } = over;
+    pub fn complete_inherited_call(&self, over: CompletedCall) {
+        let CompletedCall { msg, end, latency, load, said } = over;
         let Some(fetch) = self.state().predecessor_fetches.remove(&msg) else { return };
         self.report(Report::Done { fetch, end, latency, load, said });
     }
 
     /// The other process is gone: what it had out may have run, and nobody will say so.
-    pub fn calls_lost(&self) -> usize {
+    pub fn abandon_inherited_calls(&self) -> usize {
         let lost: Vec<Fetch> = std::mem::take(&mut self.state().predecessor_fetches).into_values().collect();
         let count = lost.len();
         for fetch in lost {
--- a/src/core/keeping.rs
+++ b/src/core/keeping.rs
@@ -48,7 +48,7 @@
         let Some(past) = self.history.as_mut().filter(|past| !past.shelf.closed()) else {
             let past = self.history.as_ref().filter(|_| self.journal.owed().contains_key(&msg));
             past.into_iter().for_each(|past| past.shelf.give_way());
-            return self.forget(now, msg, Some(ended));
+            return self.end_message(now, msg, Some(ended));
         };
         if self.journal.end_kept(msg, now, how, said) {
             past.gives_way = false;
@@ -58,7 +58,7 @@
                 tracing::warn!(target: "history", "its file can't keep up: what ends is not kept for now");
             }
         }
-        self.forgotten(now, msg, Some(ended));
+        self.message_ended(now, msg, Some(ended));
     }
 
     /// Lays down what the journal has written that it has ended.
@@ -84,14 +84,14 @@
 impl Courier {
     /// What operators and other couriers ask of the history; `None`: it is off, or another process has it.
     pub fn history<T>(&self, by: impl FnOnce(&mut Keeper, Micros) -> T) -> Option<T> {
-        self.past.as_ref()?.wait(|keeper| by(keeper, self.clock.now()))
+        self.history.as_ref()?.wait(|keeper| by(keeper, self.clock.now()))
     }
 
     /// The same, if the history is free by then; the error says that it is not.
     pub fn history_by<T>(
         &self, until: Instant, by: impl FnOnce(&mut Keeper, Micros) -> T,
     ) -> Result<Option<T>, Busy> {
-        let Some(shelf) = &self.past else { return Ok(None) };
+        let Some(shelf) = &self.history else { return Ok(None) };
         let mut keeper = shelf.free_by(until).ok_or(Busy)?;
         Ok(keeper.as_mut().map(|keeper| by(keeper, self.clock.now())))
     }
@@ -99,13 +99,13 @@
     /// Puts away what has ended, and moves the history's time; on a thread of its own, as the file may be slow. `false`: it is
     /// off, or another process has it.
     pub fn keep(&self) -> bool {
-        self.past.as_ref().is_some_and(|shelf| shelf.turn(&|| self.clock.now()))
+        self.history.as_ref().is_some_and(|shelf| shelf.turn(&|| self.clock.now()))
     }
 }
 
 impl Held for Arc<Courier> {
     fn with(&self, by: &mut dyn FnMut(&mut Keeper)) -> bool {
-        let Some(shelf) = &self.past else { return true };
+        let Some(shelf) = &self.history else { return true };
         let Some(mut keeper) = shelf.free_soon(Instant::now() + PATIENCE) else { return false };
         keeper.as_mut().into_iter().for_each(by);
         true
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -83,7 +83,7 @@
             // Nothing new goes to a connection of one that drains, is gone or has moved.
             let before = self.backends.insert(endpoint, listed.clone()).filter(|b| *b != listed);
             let parts = line.state != ListState::Up;
-            before.into_iter().chain(parts.then_some(listed)).for_each(|b| self.order(Order::LetGo(b)));
+            before.into_iter().chain(parts.then_some(listed)).for_each(|b| self.order(Order::CloseIdle(b)));
         }
         self.forget_gone(now);
         if news.read_again {
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -35,8 +35,8 @@
 use batches::Batches;
 use crossbeam_channel::Receiver;
 use draining::Draining;
-use handover::{Mode, Passed};
-use neighbours::Neighbours;
+use handover::{HandoverState, Ownership};
+use neighbours::ProbesAndNotes;
 pub use orders::*;
 use remember::Remembers;
 use replaying::Replays;
@@ -59,7 +59,7 @@
     /// Endpoints that are left out by hand; `None`: none can be.
     pub overrides: Option<Arc<Hand>>,
     /// What the process passed that served until now.
-    pub handed_over: Option<Passed>,
+    pub handed_over: Option<HandoverState>,
     /// Where what the next life must know is written down; `None`: nowhere.
     pub memory_dir: Option<PathBuf>,
     /// How messages ended is remembered, for questions.
@@ -117,9 +117,9 @@
     /// Fetches that wait for their turn at a backend that is not fully trusted, with their time-outs.
     waiting_fetches: BTreeMap<u64, (Fetch, Micros)>,
     draining: Draining,
-    neighbours: Neighbours,
-    sharing_state: sharing::Shares,
-    mode: Mode,
+    neighbours: ProbesAndNotes,
+    sharing_state: sharing::FleetExchange,
+    mode: Ownership,
     /// Until when a destination is to be left alone by answers that are not read to their end yet. The module hears of a
     /// wait with the whole answer; by then this is over or repeats it.
     destination_waits: Waits,
@@ -188,9 +188,9 @@
             batches,
             waiting_fetches: BTreeMap::new(),
             draining,
-            neighbours: Neighbours::new(settings.limits.probes, settings.limits.notes),
-            sharing_state: sharing::Shares::default(),
-            mode: Mode::Decides,
+            neighbours: ProbesAndNotes::new(settings.limits.probes, settings.limits.notes),
+            sharing_state: sharing::FleetExchange::default(),
+            mode: Ownership::Active,
             destination_waits: Waits::new(),
             memory_file: Remembers::new(options.memory_dir),
             history: None,
@@ -208,10 +208,10 @@
         core.take_up_history(now, options.history);
         core.look_at_hand(now);
         let mut passed = options.handed_over;
-        passed.iter_mut().for_each(|passed| core.go_on_with(passed));
+        passed.iter_mut().for_each(|passed| core.import_handover(passed));
         core.recall(now, passed.is_some());
         core.resume(now, passed.as_ref());
-        core.strike(now, true);
+        core.apply_due_drains(now, true);
         (core, orders)
     }
 
@@ -230,11 +230,11 @@
 
     /// Moves time; says when it wants to be called again at the latest.
     pub fn tick(&mut self, now: Micros) -> Micros {
-        if !self.decides() {
+        if !self.is_active() {
             return now + Micros(TICK_INTERVAL_US);
         }
         self.look_at_hand(now);
-        self.look_at_desk(now);
+        self.exchange_with_fleet(now);
         if self.next_member_count_at <= now {
             self.next_member_count_at = now + MEMBER_COUNT_INTERVAL;
             self.count_members();
@@ -243,12 +243,12 @@
             self.listed(now, front, news, Vec::new());
         }
         if self.draining.next_at().is_some_and(|at| at <= now) {
-            self.strike(now, false);
+            self.apply_due_drains(now, false);
         }
         self.remember(now);
         self.keep_recording(now);
         self.hear_kept();
-        self.replay(now);
+        self.start_next_replay(now);
         if self.next_timer_at.is_some_and(|at| at <= now) {
             self.next_timer_at = None;
             self.feed(now, &[Event::Elapsed(TimerToken(0))], &mut []);
@@ -275,14 +275,14 @@
 
     /// What became of messages, and how things stand.
     pub fn figures(&mut self) -> &Figures {
-        self.figures.pending = self.messages.len().saturating_sub(self.replays.out()) as u64;
+        self.figures.pending = self.messages.len().saturating_sub(self.replays.active_count()) as u64;
         &self.figures
     }
 
     /// Takes in what happened.
     pub fn report(&mut self, now: Micros, what: Report) -> Answer {
-        if !self.decides() {
-            return self.set_aside(what);
+        if !self.is_active() {
+            return self.report_while_inactive(what);
         }
         match what {
             Report::Req(req) => {
@@ -308,15 +308,15 @@
                 }
                 joins.into_iter().for_each(|batch| self.one_more(batch));
             }
-            Report::Begin(fetch) => return Answer::Go(self.begin(now, &fetch)),
-            Report::Wait { front, dest, wait } => {
+            Report::Begin(fetch) => return Answer::MayBegin(self.begin(now, &fetch)),
+            Report::RetryAfter { front, dest, wait } => {
                 self.heard_wait(now, front, dest, wait);
                 self.remember(now);
             }
             Report::Done { fetch, end, latency, load, said } => {
                 self.done(now, vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
-            Report::Told(msg) => {
+            Report::NoticeDelivered(msg) => {
                 let (ended, how) = match self.journal.owed().get(&msg).and_then(|owed| owed.verdict) {
                     Some(Verdict::HandedBack(_)) => (Ended::Rejected, How::HandedBack),
                     _ => (Ended::Failed, How::GivenUp),
@@ -333,7 +333,7 @@
                 let news = self.register.book(front, now).hear(now, word);
                 self.listed(now, front, news, answered.into_iter().collect());
             }
-            Report::ListHeard(front) => {
+            Report::ListUnchanged(front) => {
                 let news = self.register.book(front, now).heartbeat(now);
                 if news != News::default() {
                     self.listed(now, front, news, Vec::new());
@@ -344,7 +344,7 @@
                 self.listed(now, front, news, vec![Event::ListFailed]);
             }
         }
-        Answer::Noted
+        Answer::Acknowledged
     }
 }
 
@@ -360,7 +360,7 @@
 }
 
 fn returned(fetch: &Fetch, outcome: Outcome, terminal: bool, latency: Micros, report: Vec<f32>) -> Event {
-    let (id, endpoint, attempt) = (MessageId(fetch.msg), fetch.at, fetch.attempt);
+    let (id, endpoint, attempt) = (MessageId(fetch.msg), fetch.endpoint, fetch.attempt);
     Event::Returned { id, endpoint, outcome, terminal, latency, attempt, report }
 }
 
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -1,7 +1,7 @@
 //! The core's part in what neighbours tell each other and in probes of endpoints. The module names an endpoint by a number
 //! that this courier gave it; outside it goes by its name in the list, the same at every courier.
 
-use super::handover::{Later, Mode};
+use super::handover::{Deferred, Ownership};
 use super::{Backend, Core, Courier, Order, MIN_TIME_TO_BEGIN, PLATFORM_FRONT};
 use crate::api::{DestinationId, EndpointId, Event, Micros, Outcome, PeerId};
 use std::collections::BTreeSet;
@@ -13,7 +13,7 @@
 /// A question to one endpoint how it is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Probe {
-    pub(crate) at: EndpointId,
+    pub(crate) endpoint: EndpointId,
     /// Whom to ask.
     pub backend: Arc<Backend>,
     /// Its destination, whose told waits bind the probe too.
@@ -25,7 +25,7 @@
 impl Probe {
     /// A number of its own among all that is out: messages have numbers below it, and an endpoint has one probe at most.
     pub fn number(&self) -> u64 {
-        let [a, b, c, d, ..] = self.at.bytes();
+        let [a, b, c, d, ..] = self.endpoint.bytes();
         u64::from(u32::MAX) << 32 | u64::from(u32::from_be_bytes([a, b, c, d]))
     }
 }
@@ -34,20 +34,20 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Note {
     /// The endpoint of this name has answered after it had been out.
-    Back(String),
+    EndpointRecovered(String),
 }
 
 /// What the settings permit, and what is out.
 #[derive(Default)]
-pub(super) struct Neighbours {
+pub(super) struct ProbesAndNotes {
     probes: bool,
     notes: bool,
     out: BTreeSet<EndpointId>,
 }
 
-impl Neighbours {
-    pub(super) fn new(probes: bool, notes: bool) -> Neighbours {
-        Neighbours { probes, notes, out: BTreeSet::new() }
+impl ProbesAndNotes {
+    pub(super) fn new(probes: bool, notes: bool) -> ProbesAndNotes {
+        ProbesAndNotes { probes, notes, out: BTreeSet::new() }
     }
 }
 
@@ -70,7 +70,7 @@
         if self.neighbours.out.len() >= OUT_MOST || !self.neighbours.out.insert(at) {
             return Some(probed(at, Outcome::Moot, Micros(0), Vec::new()));
         }
-        self.order(Order::Probe(Probe { at, backend, dest, since: now }));
+        self.order(Order::Probe(Probe { endpoint: at, backend, dest, since: now }));
         None
     }
 
@@ -78,32 +78,32 @@
     pub(super) fn note(&self, to: Option<PeerId>, bytes: &[u8]) {
         let name = EndpointId::from_bytes(bytes).and_then(|at| self.name_of(at));
         if let (Some(name), true) = (name, self.neighbours.notes) {
-            self.order(Order::Note { to, note: Note::Back(name) });
+            self.order(Order::Note { to, note: Note::EndpointRecovered(name) });
         }
     }
 
     /// As [`Courier::may_probe`].
     pub fn may_probe(&mut self, now: Micros, probe: &Probe) -> bool {
-        if !self.decides() {
+        if !self.is_active() {
             return false;
         }
         self.look_at_hand(now);
         let listed = self.register.get(PLATFORM_FRONT).is_some_and(|b| b.serves(&probe.backend.name));
-        let same = self.backends.get(&probe.at).is_some_and(|b| *b == probe.backend);
+        let same = self.backends.get(&probe.endpoint).is_some_and(|b| *b == probe.backend);
         let told_wait =
             self.destination_waits.get(&(PLATFORM_FRONT, probe.dest)).is_some_and(|until| now < *until);
         let ends = self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at);
-        listed && same && !told_wait && !ends && self.neighbours.out.contains(&probe.at)
+        listed && same && !told_wait && !ends && self.neighbours.out.contains(&probe.endpoint)
     }
 
     /// As [`Courier::probed`].
     pub fn probed(&mut self, now: Micros, probe: &Probe, outcome: Outcome, latency: Micros, load: Vec<f32>) {
-        let event = probed(probe.at, outcome, latency, load);
+        let event = probed(probe.endpoint, outcome, latency, load);
         match &mut self.mode {
-            Mode::Decides => {}
-            Mode::Frozen(waited) => return waited.push(Later::Probed(event)),
+            Ownership::Active => {}
+            Ownership::Frozen(waited) => return waited.push(Deferred::Probed(event)),
             // Whoever goes on with the module has taken it for not sent.
-            Mode::Left { .. } => return,
+            Ownership::HandedOver { .. } => return,
         }
         if let Outcome::Full(Some(wait)) = outcome {
             // Danger: the module hears no wait in the outcome of a probe. Calls that it went on to order would be stopped
@@ -124,13 +124,13 @@
 
     /// As [`Courier::noted`].
     pub fn noted(&mut self, now: Micros, from: PeerId, note: &Note) -> bool {
-        let Note::Back(name) = note;
+        let Note::EndpointRecovered(name) = note;
         let listed = self.register.get(PLATFORM_FRONT).is_some_and(|b| b.lists(name));
         let Some(at) = self.endpoint_ids.get(&(PLATFORM_FRONT, name.clone())).copied().filter(|_| listed)
         else {
             return false;
         };
-        if !self.neighbours.notes || !self.decides() {
+        if !self.neighbours.notes || !self.is_active() {
             return false;
         }
         self.feed(now, &[Event::PeerNote { from, bytes: at.bytes().to_vec() }], &mut []);
--- a/src/core/ordering.rs
+++ b/src/core/ordering.rs
@@ -1,7 +1,7 @@
 //! Orders to send ended messages again: taken on from an operator or from another courier, planned once enough others were heard,
 //! run, stopped, and gone on with after a restart. The core's tick only tries for the history; operators' calls wait for it.
 
-use super::replaying::NotNow;
+use super::replaying::HistoryUnavailable;
 use super::{Core, Courier};
 use crate::api::Micros;
 use crate::history::given::{Given, Part, Phase, Told};
@@ -45,11 +45,14 @@
     /// What is known of orders, and what is to be done about it. While the history is not free, a later tick does it.
     pub(super) fn follow_orders(&mut self, now: Micros) {
         // Danger: a clock that was put back would leave orders alone until it has caught up.
-        if now < self.replays.look_at && self.replays.look_at <= now + LOOK {
+        if now < self.replays.next_order_check && self.replays.next_order_check <= now + LOOK {
             return;
         }
-        if !matches!(self.with_free(now, |core, keeper| core.follow_all(now, keeper)), Err(NotNow::Busy)) {
-            self.replays.look_at = now + LOOK;
+        if !matches!(
+            self.try_with_history(now, |core, keeper| core.follow_all(now, keeper)),
+            Err(HistoryUnavailable::Busy)
+        ) {
+            self.replays.next_order_check = now + LOOK;
         }
     }
 
@@ -72,10 +75,11 @@
 
     fn follow(&mut self, now: Micros, keeper: &mut Keeper, id: u64, given: &Given) {
         if given.stopped {
-            self.replays.run(id).into_iter().for_each(Run::stop);
+            self.replays.run_mut(id).into_iter().for_each(Run::stop);
         }
         let turn = (given.turn, given.go);
-        let (busy, stops) = self.replays.run(id).map_or((false, false), |run| (!run.over(), run.stopped()));
+        let (busy, stops) =
+            self.replays.run_mut(id).map_or((false, false), |run| (!run.over(), run.stopped()));
         if busy && !stops {
             // Given again while it runs: it goes on as it is.
             self.replays.planned.insert(id, turn);
@@ -112,7 +116,7 @@
         let known = keeper.history().and_then(|h| h.orders().known.get(&id));
         let mut part = known.map(|known| known.part.clone()).unwrap_or_default();
         let current = self.replays.planned.get(&id) == Some(&(given.turn, given.go));
-        let Some(run) = self.replays.run(id) else {
+        let Some(run) = self.replays.run_mut(id) else {
             part.phase = match (given.stopped, current) {
                 (true, _) => Phase::Stopped,
                 (false, true) => Phase::Planned,
@@ -147,7 +151,7 @@
     /// A plan, and how many were taken and not taken before.
     fn plan(&mut self, now: Micros, keeper: &mut Keeper, order: &Order) -> Option<(Plan, usize, usize)> {
         let id = order.id();
-        self.with_keeper(keeper, |history, life, world, _| {
+        self.with_replay_context(keeper, |history, life, world, _| {
             let items: Vec<Item> = history.items(order, world).collect();
             let gate = Gate { book: history.book(), life };
             let ended = |taken: bool| {
@@ -161,7 +165,7 @@
 
     fn state_of(&mut self, keeper: &Keeper, id: u64) -> Option<State> {
         let known = keeper.history()?.orders().known.get(&id)?.clone();
-        let out = self.replays.run(id).map_or(0, |run| run.progress().out as u64);
+        let out = self.replays.run_mut(id).map_or(0, |run| run.progress().out as u64);
         Some(State { given: known.row.given, part: known.part, out, told: known.told })
     }
 
@@ -172,7 +176,7 @@
         let (history, _) = keeper.both()?;
         let out = history.change(by).ok();
         self.follow_all(now, keeper);
-        self.replays.look_at = now + LOOK;
+        self.replays.next_order_check = now + LOOK;
         out
     }
 }
@@ -188,7 +192,7 @@
     /// Danger: the history is waited for first, then the core; never the other way round. `None`: there is none, or another process
     /// has it or is about to.
     fn with_orders<T>(&self, by: impl FnOnce(&mut Core, &mut Keeper, Micros) -> Option<T>) -> Option<T> {
-        self.past.as_ref()?.wait(|keeper| {
+        self.history.as_ref()?.wait(|keeper| {
             let mut state = self.state();
             let now = self.clock.now();
             state.history.as_ref()?;
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -15,7 +15,7 @@
     pub msg: u64,
     /// Its how manieth fetch in the module's count, from 0.
     pub attempt: u8,
-    pub(crate) at: EndpointId,
+    pub(crate) endpoint: EndpointId,
     /// Where to.
     pub backend: Arc<Backend>,
     /// What to send.
@@ -54,11 +54,11 @@
     /// Tell a client the end of its message.
     Notice(Notice),
     /// Watch the list of backends.
-    Watch,
+    WatchList,
     /// Read the whole list of this front once more, by a connection of its own.
     ReadList(u8),
     /// Close idle connections to this backend.
-    LetGo(Arc<Backend>),
+    CloseIdle(Arc<Backend>),
     /// Ask an endpoint how it is.
     Probe(Probe),
     /// Tell one neighbour, or all of them.
@@ -132,7 +132,7 @@
     /// A fetch has its connection; may its first byte go?
     Begin(Fetch),
     /// A backend's answer tells to wait, and is not read to its end yet.
-    Wait {
+    RetryAfter {
         /// Whose.
         front: u8,
         /// The destination.
@@ -154,7 +154,7 @@
         said: String,
     },
     /// The client has been told the end of this message.
-    Told(u64),
+    NoticeDelivered(u64),
     /// News of the backends.
     List {
         /// Whose list it is.
@@ -163,7 +163,7 @@
         word: Word,
     },
     /// The watch on the list is open, and nothing has changed.
-    ListHeard(u8),
+    ListUnchanged(u8),
     /// The watch on the list of this front failed at all addresses, or broke.
     ListFailed(u8),
 }
@@ -187,7 +187,7 @@
     /// No backend was ever listed for this destination.
     NoSuchDest,
     /// The fetch may begin, or must not.
-    Go(bool),
+    MayBegin(bool),
     /// Heard.
-    Noted,
+    Acknowledged,
 }
--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -41,11 +41,11 @@
 }
 
 /// Why the history can't be asked.
-pub(super) enum NotNow {
+pub(super) enum HistoryUnavailable {
     /// Its thread is at it, or its file is slow: later.
     Busy,
     /// It is closed or off.
-    Gone,
+    Closed,
 }
 
 /// What is being sent again.
@@ -56,7 +56,7 @@
     /// The turn in which each order was last planned, and whether it was to be run.
     pub(super) planned: BTreeMap<u64, (u16, bool)>,
     /// What is known of orders is looked at again then.
-    pub(super) look_at: Micros,
+    pub(super) next_order_check: Micros,
     ones: BTreeMap<u64, One>,
     closing: Vec<Closing>,
     /// None comes in before.
@@ -71,7 +71,7 @@
             slots,
             runs: Vec::new(),
             planned: BTreeMap::new(),
-            look_at: Micros(0),
+            next_order_check: Micros(0),
             ones: BTreeMap::new(),
             closing: Vec::new(),
             quiet_until: Micros(0),
@@ -79,12 +79,12 @@
     }
 
     /// Whether this one is sent again.
-    pub(super) fn is(&self, msg: u64) -> bool {
+    pub(super) fn contains(&self, msg: u64) -> bool {
         self.ones.contains_key(&msg)
     }
 
     /// How many are in the module.
-    pub(super) fn out(&self) -> usize {
+    pub(super) fn active_count(&self) -> usize {
         self.ones.len()
     }
 
@@ -94,7 +94,7 @@
         self.planned.clear();
     }
 
-    pub(super) fn run(&mut self, order: u64) -> Option<&mut Run> {
+    pub(super) fn run_mut(&mut self, order: u64) -> Option<&mut Run> {
         self.runs.iter_mut().find(|run| run.order.id() == order)
     }
 }
@@ -114,7 +114,7 @@
 
 impl Core {
     /// Lets the next one in, if it is time for it.
-    pub(super) fn replay(&mut self, now: Micros) {
+    pub(super) fn start_next_replay(&mut self, now: Micros) {
         self.follow_orders(now);
         if self.replays.runs.is_empty() && self.replays.ones.is_empty() {
             return;
@@ -130,7 +130,7 @@
             return;
         }
         let waits =
-            |(msg, m): &(&u64, &PendingMessage)| !m.decided && !m.in_flight && !self.replays.is(**msg);
+            |(msg, m): &(&u64, &PendingMessage)| !m.decided && !m.in_flight && !self.replays.contains(**msg);
         let waiting = self.messages.iter().filter(waits).count();
         if waiting > 0 {
             self.replays.quiet_until = self.replays.quiet_until.max(now + QUIET);
@@ -143,7 +143,7 @@
             free: self.replays.slots.saturating_sub(self.messages.values().filter(|m| m.in_flight).count()),
             spare: (self.replays.slots / SPARE).max(1),
         };
-        let next = self.with_world(now, |history, life, world, runs| {
+        let next = self.try_with_replay_context(now, |history, life, world, runs| {
             runs.iter_mut().find_map(|run| {
                 let order = run.order.clone();
                 let gate = Gate { book: history.book(), life };
@@ -168,28 +168,29 @@
     }
 
     /// The history with all that decides whether a message may go.
-    fn with_world<T>(
+    fn try_with_replay_context<T>(
         &mut self, now: Micros, by: impl FnOnce(&mut History, Life, &World, &mut Vec<Run>) -> T,
-    ) -> Result<T, NotNow> {
-        self.with_free(now, |core, keeper| core.with_keeper(keeper, by))?.ok_or(NotNow::Gone)
+    ) -> Result<T, HistoryUnavailable> {
+        self.try_with_history(now, |core, keeper| core.with_replay_context(keeper, by))?
+            .ok_or(HistoryUnavailable::Closed)
     }
 
     /// The history, if it is free. Danger: its thread may be writing, and a file that is slow would hold up traffic; neither is
     /// waited for.
-    pub(super) fn with_free<T>(
+    pub(super) fn try_with_history<T>(
         &mut self, now: Micros, by: impl FnOnce(&mut Core, &mut Keeper) -> T,
-    ) -> Result<T, NotNow> {
-        let shelf = self.history.as_ref().ok_or(NotNow::Gone)?.shelf.clone();
-        let mut keeper = shelf.free().ok_or(NotNow::Busy)?;
-        let keeper = keeper.as_mut().ok_or(NotNow::Gone)?;
+    ) -> Result<T, HistoryUnavailable> {
+        let shelf = self.history.as_ref().ok_or(HistoryUnavailable::Closed)?.shelf.clone();
+        let mut keeper = shelf.free().ok_or(HistoryUnavailable::Busy)?;
+        let keeper = keeper.as_mut().ok_or(HistoryUnavailable::Closed)?;
         if keeper.slow(now) {
-            return Err(NotNow::Busy);
+            return Err(HistoryUnavailable::Busy);
         }
         Ok(by(self, keeper))
     }
 
-    /// The same as [`Core::with_world`] for whoever has it; `None`: it is closed.
-    pub(super) fn with_keeper<T>(
+    /// The same as [`Core::try_with_replay_context`] for whoever has it; `None`: it is closed.
+    pub(super) fn with_replay_context<T>(
         &mut self, keeper: &mut Keeper, by: impl FnOnce(&mut History, Life, &World, &mut Vec<Run>) -> T,
     ) -> Option<T> {
         let Core { replays, register, .. } = self;
@@ -206,17 +207,17 @@
     /// Into the module, as a message that is handed in, or as one that an earlier life may have sent.
     fn let_in(&mut self, now: Micros, order: &Order, number: u64) {
         let id = order.id();
-        let found = self.with_world(now, |history, _, world, _| {
+        let found = self.try_with_replay_context(now, |history, _, world, _| {
             let item = history.item(number, world)?;
             Some((history.peek(now, number)?, item))
         });
         let (kept, item) = match found {
             Ok(Some(found)) => found,
-            Err(NotNow::Busy) => {
-                return self.replays.run(id).into_iter().for_each(|run| run.put_back(number))
+            Err(HistoryUnavailable::Busy) => {
+                return self.replays.run_mut(id).into_iter().for_each(|run| run.put_back(number))
             }
-            Ok(None) | Err(NotNow::Gone) => {
-                return self.replays.run(id).into_iter().for_each(|run| run.passed_by(number))
+            Ok(None) | Err(HistoryUnavailable::Closed) => {
+                return self.replays.run_mut(id).into_iter().for_each(|run| run.passed_by(number))
             }
         };
         let deadline = self.replays.classes.get(usize::from(kept.class)).map_or(Micros(0), |c| c.deadline);
@@ -244,8 +245,8 @@
             body: kept.body.into(),
             keep_id: Micros(0),
         };
-        if self.draining.turns_away(now, &req).is_some() {
-            self.replays.run(id).into_iter().for_each(|run| run.put_back(number));
+        if self.draining.refusal(now, &req).is_some() {
+            self.replays.run_mut(id).into_iter().for_each(|run| run.put_back(number));
             return;
         }
         let (msg, req) = (self.next_message, Arc::new(req));
@@ -286,15 +287,17 @@
     }
 
     /// The last look, and the claim. Danger: from here on it may have run.
-    pub(super) fn begin_replay(&mut self, now: Micros, msg: u64) -> bool {
+    pub(super) fn claim_replay(&mut self, now: Micros, msg: u64) -> bool {
         let Some(one) = self.replays.ones.get(&msg).filter(|one| !one.claimed) else { return false };
         let (order, number) = (one.order, one.number);
-        let Some(order) = self.replays.run(order).filter(|run| !run.stopped()).map(|run| run.order.clone())
+        let Some(order) =
+            self.replays.run_mut(order).filter(|run| !run.stopped()).map(|run| run.order.clone())
         else {
             return false;
         };
-        let claimed =
-            self.with_world(now, |history, life, world, _| history.claim(now, &order, number, world, life));
+        let claimed = self.try_with_replay_context(now, |history, life, world, _| {
+            history.claim(now, &order, number, world, life)
+        });
         let Some(one) = self.replays.ones.get_mut(&msg) else { return false };
         match claimed {
             Ok(Ok(Ok(_))) => one.claimed = true,
@@ -307,7 +310,7 @@
     }
 
     /// Its one call is over.
-    pub(super) fn replay_over(&mut self, now: Micros, over: FinishedFetch, events: &mut Vec<Event>) {
+    pub(super) fn finish_replay(&mut self, now: Micros, over: FinishedFetch, events: &mut Vec<Event>) {
         let FinishedFetch { fetch, end, latency, load, .. } = over;
         let outcome = match end {
             End::Delivered => Outcome::Ok,
@@ -351,18 +354,18 @@
     fn close_claims(&mut self, now: Micros) {
         for one in std::mem::take(&mut self.replays.closing) {
             let Closing { order, number, claimed, passed, ran, taken } = one;
-            let known = self.replays.run(order).map(|run| run.order.clone());
+            let known = self.replays.run_mut(order).map(|run| run.order.clone());
             if let Some(order) = known.filter(|_| claimed) {
-                let closed = self.with_world(now, |history, _, _, _| match ran {
+                let closed = self.try_with_replay_context(now, |history, _, _, _| match ran {
                     true => history.sent(&order, number, taken),
                     false => history.unclaim(&order, number),
                 });
-                if matches!(closed, Err(NotNow::Busy)) {
+                if matches!(closed, Err(HistoryUnavailable::Busy)) {
                     self.replays.closing.push(one);
                     continue;
                 }
             }
-            let Some(run) = self.replays.run(order) else { continue };
+            let Some(run) = self.replays.run_mut(order) else { continue };
             match (passed, ran) {
                 (true, _) => run.passed_by(number),
                 (_, true) => run.ended(number, taken),
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -27,35 +27,35 @@
     on_desk: AtomicUsize,
     orders: Receiver<Order>,
     /// Ended messages; `None`: they are not kept.
-    pub(super) past: Option<Arc<Shelf>>,
+    pub(super) history: Option<Arc<Shelf>>,
     /// What operators read; it is as it was when the state was last let go of.
     pub board: Arc<Board>,
     /// Where the core meets what couriers share.
     pub sharing: Arc<Desk>,
     /// Fronts that take nothing on.
-    pub(super) shut: [AtomicBool; draining::FRONTS],
+    pub(super) closed_fronts: [AtomicBool; draining::FRONT_COUNT],
 }
 
 /// The state while one thread holds it. What lies on the desk by the end is taken in.
-pub(super) struct Held<'a> {
+pub(super) struct StateGuard<'a> {
     courier: &'a Courier,
     state: Option<MutexGuard<'a, Core>>,
 }
 
-impl Deref for Held<'_> {
+impl Deref for StateGuard<'_> {
     type Target = Core;
     fn deref(&self) -> &Core {
         self.state.as_ref().expect("held until it is dropped")
     }
 }
 
-impl DerefMut for Held<'_> {
+impl DerefMut for StateGuard<'_> {
     fn deref_mut(&mut self) -> &mut Core {
         self.state.as_mut().expect("held until it is dropped")
     }
 }
 
-impl Drop for Held<'_> {
+impl Drop for StateGuard<'_> {
     fn drop(&mut self) {
         if let Some(state) = self.state.take() {
             self.courier.clear_desk(state);
@@ -70,21 +70,21 @@
         let courier = Courier {
             clock,
             sharing: core.sharing_state.desk.clone(),
-            past: core.history.as_ref().map(|past| past.shelf.clone()),
+            history: core.history.as_ref().map(|history| history.shelf.clone()),
             state: Mutex::new(core),
             desk: Mutex::default(),
             on_desk: AtomicUsize::new(0),
             orders,
             board: Arc::default(),
-            shut: draining::none_shut(),
+            closed_fronts: draining::all_fronts_open(),
         };
-        courier.flag(&courier.state());
+        courier.update_closed_fronts(&courier.state());
         courier
     }
 
-    pub(super) fn state(&self) -> Held<'_> {
+    pub(super) fn state(&self) -> StateGuard<'_> {
         let state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
-        Held { courier: self, state: Some(state) }
+        StateGuard { courier: self, state: Some(state) }
     }
 
     /// Fetches are over. They are taken in at once, by this thread or by the one that holds the state.
@@ -127,7 +127,7 @@
     }
 
     /// Blocks until there is something to do. The courier lives as long as its process, so orders never end.
-    pub fn pick(&self) -> Order {
+    pub fn next_order(&self) -> Order {
         self.orders.recv().unwrap_or(Order::Nothing)
     }
 
@@ -135,7 +135,7 @@
     pub fn report(&self, what: Report) -> Answer {
         if let Report::Done { fetch, end, latency, load, said } = what {
             self.over(vec![FinishedFetch { fetch, end, latency, load, said }]);
-            return Answer::Noted;
+            return Answer::Acknowledged;
         }
         let mut state = self.state();
         // Danger: what lies on the desk may tell to wait, or that the message is over, and was there before.
@@ -160,7 +160,7 @@
     }
 
     /// Fetches that shared a call are over; they are taken in as one. The first speaks for the call.
-    pub fn all_over(&self, ends: Vec<(Fetch, End)>, latency: Micros, load: &[f32]) {
+    pub fn batch_done(&self, ends: Vec<(Fetch, End)>, latency: Micros, load: &[f32]) {
         let over =
             |(fetch, end)| FinishedFetch { fetch, end, latency, load: load.to_vec(), said: String::new() };
         self.over(ends.into_iter().map(over).collect());
@@ -225,7 +225,7 @@
     }
 
     /// That list, and the bytes that the journal takes beside it.
-    pub fn to_keep(&self, front: u8) -> Option<(Edition, u64)> {
+    pub fn list_to_store(&self, front: u8) -> Option<(Edition, u64)> {
         let state = self.state();
         Some((state.register.get(front)?.to_keep()?, state.journal.on_disk()))
     }
--- a/src/core/sharing.rs
+++ b/src/core/sharing.rs
@@ -11,7 +11,7 @@
 
 /// What the core keeps of it.
 #[derive(Default)]
-pub(super) struct Shares {
+pub(super) struct FleetExchange {
     pub(super) desk: Arc<Desk>,
     paused: bool,
     facts_at: Micros,
@@ -23,7 +23,7 @@
     banned: (u64, Arc<[u64]>),
 }
 
-impl Shares {
+impl FleetExchange {
     /// The core decides nothing from here on, and nobody may lend in its name.
     pub(super) fn pause(&mut self) {
         self.paused = self.desk.is_open();
@@ -31,7 +31,7 @@
     }
 
     /// It does again.
-    pub(super) fn go_on(&mut self) {
+    pub(super) fn resume(&mut self) {
         if std::mem::take(&mut self.paused) {
             self.desk.open();
         }
@@ -40,7 +40,7 @@
 
 impl Core {
     /// When a round begins: what the fleet believes goes in, and from time to time what this courier knows goes out.
-    pub(super) fn look_at_desk(&mut self, now: Micros) {
+    pub(super) fn exchange_with_fleet(&mut self, now: Micros) {
         if !self.sharing_state.desk.is_open() {
             return;
         }
--- a/src/core/taking.rs
+++ b/src/core/taking.rs
@@ -9,12 +9,12 @@
 impl Core {
     /// How long a client is told to stay away where the module has said nothing; never longer than the settings say it heeds.
     pub(super) fn stay_away(&self) -> Micros {
-        DEFAULT_RETRY_AFTER.min(self.draining.longest)
+        DEFAULT_RETRY_AFTER.min(self.draining.max_retry_after)
     }
 
     /// Taken or refused at once, each in its turn. The journal has all that are taken before any answer says so.
     pub(super) fn take(&mut self, now: Micros, reqs: Vec<Req>) -> Vec<Answer> {
-        if !self.decides() {
+        if !self.is_active() {
             return reqs.iter().map(|_| Answer::Refused(self.stay_away())).collect();
         }
         let mut answers = Vec::with_capacity(reqs.len());
@@ -63,7 +63,7 @@
         if self.journal.knows(&req.id, now) {
             return Some(Answer::Known);
         }
-        if let Some(turn) = self.draining.turns_away(now, req) {
+        if let Some(turn) = self.draining.refusal(now, req) {
             return Some(Answer::Draining { wait: turn.wait, drain: turn.id });
         }
         let book = self.register.book(req.front, now);
@@ -124,7 +124,7 @@
             match self.journal.withdraw(id) {
                 Ok(()) => {
                     tracing::debug!(target: "attempts", msg = id, wait_ms = wait.0 / 1_000, "refused by the policy");
-                    self.forgotten(now, id, Some(Ended::Rejected));
+                    self.message_ended(now, id, Some(Ended::Rejected));
                     refuse(id, wait);
                 }
                 Err(_) => self.verdict(now, id, verdict.unwrap_or(Verdict::GivenUp), &mut []),
@@ -149,7 +149,7 @@
             self.trust(now, &fetch, CallEnd::Unsent, &mut events);
         }
         events.extend(self.leave_line(msg));
-        self.forget(now, msg, None);
+        self.end_message(now, msg, None);
         self.feed(now, &events, &mut []);
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -91,7 +91,7 @@
     let disk = (config.disk_mb * 1e6) as u64;
     let keep = KeepRules { disk: reg.keep.disk.min(disk / KEPT_SHARE), ..reg.keep.clone() };
     let for_copy = if keep.enabled && config.listen.is_some() { keep.disk } else { 0 };
-    let for_drains = if control.is_some() { draining::ROOM } else { 0 };
+    let for_drains = if control.is_some() { draining::RESERVED_DISK_BYTES } else { 0 };
     let in_state = |e: &dyn std::fmt::Display| format!("NODE_STATE: {}: {e}", state.display());
     let for_hand = if door_at.is_some() { hand::ROOM } else { 0 };
     let for_history = history.as_ref().map_or(0, |h| h.disk);
@@ -342,7 +342,7 @@
         }
         if now - swept > Duration::from_millis(250) {
             swept = now;
-            if left_at.is_none() && courier.left() {
+            if left_at.is_none() && courier.has_handed_over() {
                 left_at = Some(now);
                 peers.iter().for_each(|peers| peers.close());
             }
--- a/src/daemon/parts.rs
+++ b/src/daemon/parts.rs
@@ -75,7 +75,9 @@
 pub(super) fn keep_list(courier: &Courier, keeper: &mut Keeper, disk: u64) {
     let now = courier.clock.now();
     let due = courier.edition(platform::FRONT).is_some_and(|(number, heard)| keeper.due(now, number, heard));
-    let Some((edition, journal)) = due.then(|| courier.to_keep(platform::FRONT)).flatten() else { return };
+    let Some((edition, journal)) = due.then(|| courier.list_to_store(platform::FRONT)).flatten() else {
+        return;
+    };
     if let Some(words) = keeper.keep(now, &edition, disk.saturating_sub(journal)) {
         tracing::warn!(target: "register", "{words}");
     }
--- a/src/net/mail/bounce.rs
+++ b/src/net/mail/bounce.rs
@@ -26,14 +26,14 @@
         };
         match next.map(|notice| (bounce(mail, &notice), notice)) {
             Some((Some(req), notice)) => waiting.push((notice, req)),
-            Some((None, notice)) => drop(mail.courier.report(Report::Told(notice.msg))),
+            Some((None, notice)) => drop(mail.courier.report(Report::NoticeDelivered(notice.msg))),
             None if waiting.is_empty() => return,
             None => {}
         }
         waiting.retain(|(notice, req)| {
             let told = hand_in(mail, req);
             if told {
-                mail.courier.report(Report::Told(notice.msg));
+                mail.courier.report(Report::NoticeDelivered(notice.msg));
             }
             !told
         });
@@ -54,7 +54,7 @@
         }
         Answer::Known => true,
         Answer::Refused(_) | Answer::Draining { .. } | Answer::NoSuchDest => false,
-        Answer::Go(_) | Answer::Noted => false,
+        Answer::MayBegin(_) | Answer::Acknowledged => false,
     }
 }
 
--- a/src/net/mail/client.rs
+++ b/src/net/mail/client.rs
@@ -168,7 +168,7 @@
         return Ok((End::Rejected, said.into(), Some((stream.clone(), extensions))));
     }
     // The last look before the transaction's first byte: connecting and greeting may have taken long.
-    if mail.courier.report(Report::Begin(fetch.clone())) != Answer::Go(true) {
+    if mail.courier.report(Report::Begin(fetch.clone())) != Answer::MayBegin(true) {
         return Ok((End::NotBegun, String::new(), Some((stream.clone(), extensions))));
     }
     let body = if eight_bit { " BODY=8BITMIME" } else { "" };
--- a/src/net/mail/server.rs
+++ b/src/net/mail/server.rs
@@ -160,7 +160,7 @@
             Request::Mail { .. } | Request::Rcpt { .. } if self.talk.hello.is_none() => {
                 say("503 5.5.1 say hello first")
             }
-            Request::Mail { .. } if self.mail.courier.shut(FRONT) && self.talk.from.is_none() => {
+            Request::Mail { .. } if self.mail.courier.front_closed(FRONT) && self.talk.from.is_none() => {
                 ("421 4.3.2 draining, come again later".to_owned(), Next::End)
             }
             Request::Mail { from } => (self.mail_from(&from), Next::Go),
@@ -295,7 +295,7 @@
             Some(Answer::NoSuchDest) => "451 4.4.4 the partner has no mail backend just now",
             Some(Answer::Refused(_)) => "451 4.3.2 busy, come again later",
             Some(Answer::Draining { .. }) => "451 4.3.2 draining, come again later",
-            Some(Answer::Go(_) | Answer::Noted) => "451 4.3.0 local error",
+            Some(Answer::MayBegin(_) | Answer::Acknowledged) => "451 4.3.0 local error",
         };
         let mut replies: Vec<_> = known.into_iter().map(&mut reply).collect();
         if self.protocol == Protocol::Smtp {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -64,7 +64,7 @@
 pub fn dispatch(courier: &Courier, fronts: &[Front], peers: Option<&peers::Peers>) {
     let of = |number: u8| fronts.iter().find(|f| f.number == number);
     loop {
-        match courier.pick() {
+        match courier.next_order() {
             Order::Fetch(fetch) => {
                 if let Some(front) = of(fetch.req.front) {
                     front.start(vec![fetch]);
@@ -82,8 +82,8 @@
                 }
             }
             Order::Cancel { msg, attempt } => fronts.iter().for_each(|f| f.conns.cancel(msg, attempt)),
-            Order::LetGo(backend) => fronts.iter().for_each(|f| f.conns.let_go(&backend)),
-            Order::Watch => {
+            Order::CloseIdle(backend) => fronts.iter().for_each(|f| f.conns.let_go(&backend)),
+            Order::WatchList => {
                 for watch in fronts.iter().filter_map(|f| f.watch.as_ref()) {
                     let _ = watch.send(());
                 }
--- a/src/net/peers/frame.rs
+++ b/src/net/peers/frame.rs
@@ -69,7 +69,7 @@
 
 /// A note's bytes; `None`: it does not fit.
 pub fn encode(note: &Note) -> Option<Vec<u8>> {
-    let Note::Back(name) = note;
+    let Note::EndpointRecovered(name) = note;
     let body = postcard::to_allocvec(&Back { instance: name }).ok()?;
     seal(BACK, &body)
 }
@@ -81,7 +81,7 @@
         return Err(Refused::Unknown);
     }
     match postcard::take_from_bytes::<Back>(body) {
-        Ok((back, [])) if !back.instance.is_empty() => Ok(Note::Back(back.instance.to_owned())),
+        Ok((back, [])) if !back.instance.is_empty() => Ok(Note::EndpointRecovered(back.instance.to_owned())),
         _ => Err(Refused::Malformed),
     }
 }
@@ -97,18 +97,18 @@
 
     #[test]
     fn a_note_comes_out_as_it_went_in_and_is_short() {
-        let note = Note::Back("s-5be2a07c".into());
+        let note = Note::EndpointRecovered("s-5be2a07c".into());
         let bytes = encode(&note).unwrap();
         assert_eq!(bytes.len(), 17);
         assert_eq!(decode(&bytes), Ok(note));
-        let longest = |n: usize| encode(&Note::Back("x".repeat(n))).map(|bytes| bytes.len());
+        let longest = |n: usize| encode(&Note::EndpointRecovered("x".repeat(n))).map(|bytes| bytes.len());
         assert_eq!((longest(248), longest(249)), (Some(256), None));
     }
 
     /// Guards against bytes that are no whole note and change something: every cut, every single bit, what follows it.
     #[test]
     fn what_is_damaged_says_nothing() {
-        let good = encode(&Note::Back("s-5be2a07c".into())).unwrap();
+        let good = encode(&Note::EndpointRecovered("s-5be2a07c".into())).unwrap();
         for cut in 0..good.len() {
             assert!(decode(&good[..cut]).is_err(), "{cut}");
         }
--- a/src/net/platform/answer.rs
+++ b/src/net/platform/answer.rs
@@ -63,7 +63,7 @@
     let Some(wait) = head.wait.filter(|_| matches!(head.status, 200 | 429) || !head.over_slots) else {
         return false;
     };
-    platform.courier.report(Report::Wait { front: FRONT, dest, wait });
+    platform.courier.report(Report::RetryAfter { front: FRONT, dest, wait });
     true
 }
 
--- a/src/net/platform/batch.rs
+++ b/src/net/platform/batch.rs
@@ -224,7 +224,7 @@
             }
         }
         if !ends.is_empty() {
-            self.platform.courier.all_over(ends, latency, load);
+            self.platform.courier.batch_done(ends, latency, load);
         }
     }
 }
@@ -295,7 +295,7 @@
         };
         let backend = Arc::new(Backend { name: "b".into(), addr: "127.0.0.1:1".parse().unwrap() });
         let at = EndpointId { addr: [0; 4], port: 0 };
-        Fetch { msg: 0, attempt: 0, at, backend, req: Arc::new(req), until: Micros(0) }
+        Fetch { msg: 0, attempt: 0, endpoint: at, backend, req: Arc::new(req), until: Micros(0) }
     }
 
     fn states(extra: &str, body: &str) -> States {
--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -154,7 +154,7 @@
                 platform.site.answered();
             }
             if line.iter().all(u8::is_ascii_whitespace) {
-                platform.courier.report(Report::ListHeard(FRONT));
+                platform.courier.report(Report::ListUnchanged(FRONT));
             } else {
                 tell(platform, &line)?;
             }
--- a/src/net/platform/fetch.rs
+++ b/src/net/platform/fetch.rs
@@ -71,7 +71,7 @@
     };
     // The last look before the first byte: connecting may have taken long, and so may the look itself.
     hear_others(platform, fetch);
-    let goes = platform.courier.report(Report::Begin(fetch.clone())) == Answer::Go(true);
+    let goes = platform.courier.report(Report::Begin(fetch.clone())) == Answer::MayBegin(true);
     if !goes || hear_others(platform, fetch) {
         return Done { spare: Some(stream), ..Done::without_answer(End::NotBegun) };
     }
--- a/src/net/platform/notices.rs
+++ b/src/net/platform/notices.rs
@@ -40,7 +40,7 @@
             Ok((204, stream)) => {
                 (kept, pause, patience, most) = (stream, PAUSE, ANSWER, BATCH);
                 for notice in waiting.drain(..batch) {
-                    platform.courier.report(Report::Told(notice.msg));
+                    platform.courier.report(Report::NoticeDelivered(notice.msg));
                 }
                 continue;
             }
--- a/src/net/platform/session.rs
+++ b/src/net/platform/session.rs
@@ -69,7 +69,7 @@
         }
         talk.continued = false;
         // Danger: what is read behind this request and not answered is lost; so only the last that was read is told to be it.
-        let ends = platform.door.closing() || platform.courier.shut(FRONT);
+        let ends = platform.door.closing() || platform.courier.front_closed(FRONT);
         let last = head.close || ends && bytes.len() == end;
         let heard =
             match request(platform, &head, &bytes[head.head..end], std::mem::replace(&mut talk.skew, SKEW)) {
@@ -142,12 +142,14 @@
                 ..Say::of("503 Service Unavailable")
             },
             Answer::Draining { wait, drain } => {
-                let link = courier.elsewhere(drain).map(|at| format!("Link: <{at}>; rel=\"alternate\"\r\n"));
+                let link = courier
+                    .alternative_address(drain)
+                    .map(|at| format!("Link: <{at}>; rel=\"alternate\"\r\n"));
                 let headers = format!("Retry-After: {:.3}\r\n{}", wait.secs(), link.unwrap_or_default());
                 Say { headers, body: "draining\n".into(), ..Say::of("503 Service Unavailable") }
             }
             Answer::NoSuchDest => Say::fault("404 Not Found", "X-Addressing: no such destination\n"),
-            Answer::Go(_) | Answer::Noted => Say::of("500 Internal Server Error"),
+            Answer::MayBegin(_) | Answer::Acknowledged => Say::of("500 Internal Server Error"),
         };
         Reply { text: say.text(last), last, fault: say.fault, receipt }
     }
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -1,7 +1,7 @@
 //! What two processes of one courier say to each other: frames of a kind, a length and JSON over a Unix stream, descriptors
 //! with a frame's head. Whatever comes is bounded, and what can't be read is an error in words.
 
-use crate::core::handover::{CallOver, Passed};
+use crate::core::handover::{CompletedCall, HandoverState};
 use crate::net::conn;
 use crate::net::lobby::SeatWords;
 use rustix::net::{
@@ -34,7 +34,7 @@
     /// It can't be, and why.
     No(String),
     /// What the core passes; the listener is with it.
-    Core(Box<Passed>),
+    Core(Box<HandoverState>),
     /// Sessions, each with its descriptor.
     Seats(Vec<SeatWords>),
     /// That was all.
@@ -44,7 +44,7 @@
     /// The folder is the other's.
     Yours,
     /// A call is over.
-    Over(CallOver),
+    Over(CompletedCall),
 }
 
 /// Says one thing before the deadline.
@@ -135,7 +135,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let (session, _) = listener.accept().unwrap();
-        let over = CallOver {
+        let over = CompletedCall {
             msg: 7,
             end: End::TurnedAway(Some(Micros(9))),
             latency: Micros(1),
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -7,7 +7,7 @@
 
 use crate::admin::hand::Hand;
 use crate::api::Micros;
-use crate::core::handover::Passed;
+use crate::core::handover::HandoverState;
 use crate::core::{Clock, Courier};
 use crate::net::lobby::{Door, SeatWords};
 use crate::net::spawn;
@@ -158,7 +158,7 @@
             let (over, ends) = unbounded();
             serving.store(false, Ordering::SeqCst);
             hand.close();
-            courier.leave(over);
+            courier.hand_over(over);
             drop(owner.lock().unwrap_or_else(PoisonError::into_inner).take());
             // An error says that the other is gone; the folder is free for the next one.
             let _ = send(&ours, &Frame::Yours, &[], until);
@@ -200,7 +200,7 @@
 
 /// Sends all, and hears the other's word for it.
 fn pass_all(
-    stream: &UnixStream, passed: Passed, listener: BorrowedFd, seats: &[(BorrowedFd, SeatWords)],
+    stream: &UnixStream, passed: HandoverState, listener: BorrowedFd, seats: &[(BorrowedFd, SeatWords)],
     until: Instant,
 ) -> io::Result<Frame> {
     send(stream, &Frame::Core(Box::new(passed)), &[listener], until)?;
@@ -213,7 +213,7 @@
 }
 
 /// Until the last has been told.
-fn tell_ends(courier: &Courier, stream: &UnixStream, ends: &Receiver<crate::core::handover::CallOver>) {
+fn tell_ends(courier: &Courier, stream: &UnixStream, ends: &Receiver<crate::core::handover::CompletedCall>) {
     for over in ends {
         let until = courier.clock.instant(courier.clock.now() + READY);
         if send(stream, &Frame::Over(over), &[], until).is_err() {
@@ -227,7 +227,7 @@
 /// What was taken over.
 pub struct Taken {
     /// For the core.
-    pub passed: Passed,
+    pub passed: HandoverState,
     /// The listener, and the sessions.
     pub listener: Option<TcpListener>,
     /// See there.
@@ -329,9 +329,9 @@
         // Longer than any message lives; its process ends long before.
         let until = courier.clock.instant(courier.clock.now() + Micros(24 * 3600 * 1_000_000));
         while let Ok((Frame::Over(over), _)) = hear(&ends, until) {
-            courier.call_over(over);
+            courier.complete_inherited_call(over);
         }
-        let lost = courier.calls_lost();
+        let lost = courier.abandon_inherited_calls();
         tracing::info!(target: "upgrade", lost, "the process before has ended");
     })
     .map(|_| ())
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -54,8 +54,8 @@
 /// The next fetch or notice; orders to close idle connections or a withdrawn fetch are passed by.
 fn next(courier: &Courier) -> Order {
     loop {
-        match courier.pick() {
-            Order::LetGo(_) | Order::Cancel { .. } => {}
+        match courier.next_order() {
+            Order::CloseIdle(_) | Order::Cancel { .. } => {}
             order => return order,
         }
     }
@@ -158,14 +158,14 @@
         let Answer::Taken(msg) = core.report(now, Report::Req(req)) else { panic!("it is taken") };
         core.report(now, Report::Answered(msg));
         let (now, first) = ordered(&mut core, now).expect("a first fetch");
-        assert_eq!(core.report(now, Report::Begin(first.clone())), Answer::Go(true));
+        assert_eq!(core.report(now, Report::Begin(first.clone())), Answer::MayBegin(true));
         let (end, latency, load, said) = (End::Broke, Micros(1_000), Vec::new(), String::new());
         core.report(now + Micros(S), Report::Done { fetch: first, end, latency, load, said });
         let (at, again) = ordered(&mut core, now + Micros(S)).expect("a repeat within the window");
         assert!(at < now + Micros(12 * S));
         // Its connection comes up at once, or once the window of 12 s is over.
         let begins = if late { now + Micros(12 * S + 1) } else { at };
-        assert_eq!(core.report(begins, Report::Begin(again.clone())), Answer::Go(!late), "{id}");
+        assert_eq!(core.report(begins, Report::Begin(again.clone())), Answer::MayBegin(!late), "{id}");
         let (end, load, said) = (if late { End::Unsent } else { End::Delivered }, Vec::new(), String::new());
         core.report(begins, Report::Done { fetch: again, end, latency, load, said });
     }
@@ -196,9 +196,13 @@
     courier.report(Report::Answered(msg));
     let out = fetch(&courier);
     list(&courier, 1, vec![line("b", 9, ListState::Up)]);
-    assert_eq!(courier.report(Report::Begin(out.clone())), Answer::Go(true), "the other front's is gone");
+    assert_eq!(
+        courier.report(Report::Begin(out.clone())),
+        Answer::MayBegin(true),
+        "the other front's is gone"
+    );
     list(&courier, 0, vec![line("a", 7, ListState::Draining)]);
-    assert_eq!(courier.report(Report::Begin(out)), Answer::Go(false));
+    assert_eq!(courier.report(Report::Begin(out)), Answer::MayBegin(false));
 }
 
 #[test]
@@ -211,7 +215,7 @@
     courier.report(Report::Answered(msg));
     let out = fetch(&courier);
     courier.stop(Instant::now() + Duration::from_millis(100));
-    assert_eq!(courier.report(Report::Begin(out.clone())), Answer::Go(false));
+    assert_eq!(courier.report(Report::Begin(out.clone())), Answer::MayBegin(false));
     done(&courier, &out, End::Unsent);
     drop(courier);
     let journal = Journal::open(&dir, 3_000_000, Micros(0)).unwrap();
@@ -229,7 +233,7 @@
     for msg in [once, safe] {
         before.report(Report::Answered(msg));
         let out = fetch(&before);
-        assert_eq!(before.report(Report::Begin(out)), Answer::Go(true));
+        assert_eq!(before.report(Report::Begin(out)), Answer::MayBegin(true));
     }
     drop(before);
     let after = courier(&dir);
@@ -247,7 +251,7 @@
         Order::Notice(notice) => assert_eq!(notice.msg, once),
         other => panic!("{other:?}"),
     }
-    last.report(Report::Told(once));
+    last.report(Report::NoticeDelivered(once));
     let known = last.report(Report::Req(req(&last, "once", 0, 7, 2)));
     assert_eq!(known, Answer::Known, "it may have run, and is recognised when it comes again");
 }
@@ -261,7 +265,7 @@
     let msg = take(&courier, "m", 7, 2);
     courier.report(Report::Answered(msg));
     let out = fetch(&courier);
-    assert_eq!(courier.report(Report::Begin(out.clone())), Answer::Go(true));
+    assert_eq!(courier.report(Report::Begin(out.clone())), Answer::MayBegin(true));
     done(&courier, &out, End::Rejected);
     match next(&courier) {
         Order::Notice(notice) => {
@@ -269,7 +273,7 @@
         }
         other => panic!("{other:?}"),
     }
-    courier.report(Report::Told(msg));
+    courier.report(Report::NoticeDelivered(msg));
     let again = take(&courier, "m", 7, 2);
     courier.report(Report::Answered(again));
     assert_eq!(fetch(&courier).msg, again, "the first one's notice was its only one");
@@ -341,7 +345,7 @@
         std::thread::scope(|threads| {
             for fetch in &fetches {
                 threads.spawn(|| {
-                    assert_eq!(courier.report(Report::Begin(fetch.clone())), Answer::Go(true));
+                    assert_eq!(courier.report(Report::Begin(fetch.clone())), Answer::MayBegin(true));
                     done(&courier, fetch, End::Delivered);
                 });
             }
--- a/tests/history_backlog.rs
+++ b/tests/history_backlog.rs
@@ -69,7 +69,7 @@
     let mut fetches = Vec::new();
     while fetches.len() < 8 {
         courier.tick();
-        match courier.pick() {
+        match courier.next_order() {
             Order::Fetch(fetch) => fetches.push(fetch),
             Order::Batch(all) => fetches.extend(all),
             _ => {}
@@ -77,7 +77,7 @@
     }
     assert!(courier.begin_all(&fetches).into_iter().all(|go| go));
     let ids = fetches.iter().map(|f| f.req.id.clone()).collect();
-    courier.all_over(fetches.into_iter().map(|f| (f, End::Delivered)).collect(), Micros(1_000), &[]);
+    courier.batch_done(fetches.into_iter().map(|f| (f, End::Delivered)).collect(), Micros(1_000), &[]);
     ids
 }
 
--- a/tests/history_ends.rs
+++ b/tests/history_ends.rs
@@ -119,7 +119,7 @@
 fn fetches(courier: &Courier, many: usize) -> Vec<Fetch> {
     let mut out = Vec::new();
     while out.len() < many {
-        match courier.pick() {
+        match courier.next_order() {
             Order::Fetch(fetch) => out.push(fetch),
             Order::Batch(fetches) => out.extend(fetches),
             _ => {}
@@ -175,7 +175,7 @@
         let mut all = all.into_iter();
         let (last, first): (Fetch, Vec<Fetch>) = (all.next_back().unwrap(), all.collect());
         for fetch in &first {
-            assert_eq!(courier.report(Report::Begin(fetch.clone())), Answer::Go(true));
+            assert_eq!(courier.report(Report::Begin(fetch.clone())), Answer::MayBegin(true));
         }
         let by = courier.clone();
         *hook.lock().unwrap() = Some(Box::new(move || {
@@ -183,13 +183,13 @@
                 over(&by, fetch, end);
             }
         }));
-        assert_eq!(courier.report(Report::Begin(last.clone())), Answer::Go(true));
+        assert_eq!(courier.report(Report::Begin(last.clone())), Answer::MayBegin(true));
         if round == 2 {
             courier.keep();
         }
         over(&courier, last, End::Over);
-        let Order::Notice(notice) = courier.pick() else { panic!("a notice is owed") };
-        courier.report(Report::Told(notice.msg));
+        let Order::Notice(notice) = courier.next_order() else { panic!("a notice is owed") };
+        courier.report(Report::NoticeDelivered(notice.msg));
         courier.keep();
         courier.tick();
     }
--- a/tests/measure_history.rs
+++ b/tests/measure_history.rs
@@ -92,7 +92,7 @@
         let mut fetches = Vec::new();
         while fetches.len() < taken.len() {
             courier.tick();
-            match courier.pick() {
+            match courier.next_order() {
                 Order::Fetch(fetch) => fetches.push(fetch),
                 Order::Batch(all) => fetches.extend(all),
                 _ => {}
@@ -100,7 +100,7 @@
         }
         courier.begin_all(&fetches);
         let ends = fetches.into_iter().map(|f| (f, End::Delivered)).collect();
-        courier.all_over(ends, Micros(1_000), &[]);
+        courier.batch_done(ends, Micros(1_000), &[]);
     }
     let (wall, mine) = (begin.elapsed().as_secs_f64() * 1e6, spent(me) - mine);
     if let Some(writer) = writer {
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -143,7 +143,7 @@
     fn fetched(&mut self, within_ms: u64, end: End) {
         let order = self.next(within_ms);
         let Some(Order::Fetch(fetch)) = order else { panic!("{order:?}") };
-        assert_eq!(self.core.report(self.now, Report::Begin(fetch.clone())), Answer::Go(true));
+        assert_eq!(self.core.report(self.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
         let (latency, load, said) = (Micros(1000), Vec::new(), String::new());
         self.core.report(self.now, Report::Done { fetch, end, latency, load, said });
     }
@@ -170,10 +170,13 @@
     teller.fetched(5_000, End::Delivered);
     let order = teller.next(0);
     let Some(Order::Note { to: None, note }) = order else { panic!("{order:?}") };
-    assert_eq!(note, Note::Back("s-1".into()));
+    assert_eq!(note, Note::EndpointRecovered("s-1".into()));
     let from = PeerId(1);
-    assert!(!hearer.core.noted(hearer.now, from, &Note::Back("s-2".into())), "not listed here");
-    assert!(hearer.core.noted(hearer.now, from, &Note::Back("s-3".into())), "in use: changes nothing");
+    assert!(!hearer.core.noted(hearer.now, from, &Note::EndpointRecovered("s-2".into())), "not listed here");
+    assert!(
+        hearer.core.noted(hearer.now, from, &Note::EndpointRecovered("s-3".into())),
+        "in use: changes nothing"
+    );
     assert!(hearer.next(100).is_none());
     assert!(hearer.core.noted(hearer.now, from, &note));
     hearer.fetched(100, End::Delivered);
@@ -193,7 +196,7 @@
     assert_eq!((first.dest, first.backend.name.as_str()), (7, "s-1"));
     assert!(world.next(3_000).is_none(), "one is out");
     assert!(world.core.may_probe(world.now, &first));
-    world.core.report(world.now, Report::Wait { front: 0, dest: 7, wait: Micros(common::S) });
+    world.core.report(world.now, Report::RetryAfter { front: 0, dest: 7, wait: Micros(common::S) });
     assert!(!world.core.may_probe(world.now, &first), "told to wait");
     world.now = world.now + Micros(common::S);
     assert!(world.core.may_probe(world.now, &first));
@@ -226,7 +229,7 @@
     let (leaves, comes) = (courier(&folders.0), courier(&folders.1));
     let leaves = peers::start(&leaves, at.clone(), None).unwrap();
     let comes = peers::start(&comes, at, None).unwrap();
-    let note = Note::Back("s-9".into());
+    let note = Note::EndpointRecovered("s-9".into());
     let bytes = frame::encode(&note).unwrap();
     peer.send_to(&bytes, listen).unwrap();
     until("heard by the first", || leaves.counts.unlisted() == 1);
@@ -240,7 +243,7 @@
     let mut buf = [0; 300];
     let (n, sender) = peer.recv_from(&mut buf).unwrap();
     assert_eq!((frame::decode(&buf[..n]), sender), (Ok(note), listen));
-    comes.tell(None, Note::Back("x".repeat(frame::MOST)));
+    comes.tell(None, Note::EndpointRecovered("x".repeat(frame::MOST)));
     until("too long", || comes.counts.too_long() == 1);
 }
 
@@ -276,7 +279,7 @@
     drop(own);
     let folder = Folder::new();
     let (mut program, addr) = start(&folder, &config);
-    let good = frame::encode(&Note::Back("s-1".into())).unwrap();
+    let good = frame::encode(&Note::EndpointRecovered("s-1".into())).unwrap();
     stranger.send_to(&good, at).unwrap();
     program.line_with("strangers 1,");
     peer.send_to(&[good.clone(), vec![0; 257 - good.len()]].concat(), at).unwrap();
@@ -295,7 +298,7 @@
     program.line_with("malformed 16,");
     peer.send_to(&frame::seal(1, b"of later").unwrap(), at).unwrap();
     program.line_with("unknown 1,");
-    peer.send_to(&frame::encode(&Note::Back("s-9".into())).unwrap(), at).unwrap();
+    peer.send_to(&frame::encode(&Note::EndpointRecovered("s-9".into())).unwrap(), at).unwrap();
     let line = program.line_with("unlisted 1");
     assert!(line.contains("heard 0,") && line.contains("flooded 0,"), "{line}");
     peer.send_to(&good, at).unwrap();
--- a/tests/notes_mesh.rs
+++ b/tests/notes_mesh.rs
@@ -81,7 +81,7 @@
         take(*addr, &format!("m{n}"));
         program.line_with("is out");
     }
-    let back = frame::encode(&Note::Back("s-1".into())).unwrap();
+    let back = frame::encode(&Note::EndpointRecovered("s-1".into())).unwrap();
     let at = Instant::now();
     (1..4).for_each(|to| mesh.say(0, to, &back).unwrap());
     couriers[2].0.line_with("heard 2,");
--- a/tests/recording.rs
+++ b/tests/recording.rs
@@ -101,14 +101,14 @@
     let fetch = life.next_fetch();
     assert_eq!(fetch.msg, msg);
     home.fail(Script { part: 5, errno: IO_ERROR, ..Script::default() });
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::Go(false));
+    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(false));
     assert!(matches!(life.take("second", 1), Answer::Refused(_)), "what can't be written is shed");
     life.done(&fetch, End::NotBegun);
     let mut tried = 0;
     for _ in 0..3_000 {
         for order in life.pass(Micros(1_000)) {
             let Order::Fetch(fetch) = order else { continue };
-            assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::Go(false));
+            assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(false));
             life.done(&fetch, End::NotBegun);
             tried += 1;
         }
@@ -117,7 +117,7 @@
     home.heal();
     let fetch = life.next_fetch();
     assert_eq!(fetch.msg, msg, "what was taken on is still owed");
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch)), Answer::Go(true));
+    assert_eq!(life.core.report(life.now, Report::Begin(fetch)), Answer::MayBegin(true));
     assert!(matches!(life.take("third", 1), Answer::Taken(_)));
     assert_eq!(life.core.owed(), 2);
 }
@@ -128,7 +128,7 @@
     let mut life = life(&home, START);
     assert!(matches!(life.take("first", 0), Answer::Taken(_)));
     let fetch = life.next_fetch();
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::Go(true));
+    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
     home.fail(Script::default());
     life.done(&fetch, End::Rejected);
     assert_eq!(notices(&life.pass(Micros(S))), 0, "a kill would undo it");
@@ -148,7 +148,7 @@
     let mut life = life(&home, START);
     assert!(matches!(life.take("first", 0), Answer::Taken(_)));
     let fetch = life.next_fetch();
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::Go(true));
+    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
     home.fail(Script::default());
     life.done(&fetch, End::Rejected);
     let left = START + DUE - life.now;
--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -139,7 +139,7 @@
         if id < 20 {
             take(&two.courier, id);
         }
-        two.peers.tell(None, Note::Back("s-1".into()));
+        two.peers.tell(None, Note::EndpointRecovered("s-1".into()));
         two.courier.tick();
         let json = shared.json(now());
         assert!(json["turn_ms"].as_u64().unwrap() >= 1_500, "{json}");
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{class, keyed, settings, S};
-use indigohold::core::handover::Passed;
+use indigohold::core::handover::HandoverState;
 use indigohold::core::*;
 use indigohold::store::{Journal, Succession};
 use indigohold::{Effect, Micros};
@@ -25,7 +25,7 @@
 }
 
 /// The same behind a process that handed over, if one did.
-fn courier_after(dir: &Path, now: Micros, passed: Option<Passed>) -> Courier {
+fn courier_after(dir: &Path, now: Micros, passed: Option<HandoverState>) -> Courier {
     let mut settings = settings();
     settings.classes = vec![class(keyed()), class(Effect::Unsafe)];
     let succession = if passed.is_some() { Succession::HandOver } else { Succession::Restart };
@@ -49,8 +49,8 @@
 fn next(courier: &Courier) -> Order {
     loop {
         courier.tick();
-        match courier.pick() {
-            Order::LetGo(_) | Order::Cancel { .. } | Order::Watch => {}
+        match courier.next_order() {
+            Order::CloseIdle(_) | Order::Cancel { .. } | Order::WatchList => {}
             order => return order,
         }
     }
@@ -85,7 +85,7 @@
     let Answer::Taken(msg) = courier.report(Report::Req(req)) else { panic!("not taken") };
     courier.report(Report::Answered(msg));
     let first = fetch(&courier);
-    assert_eq!(courier.report(Report::Begin(first)), Answer::Go(true));
+    assert_eq!(courier.report(Report::Begin(first)), Answer::MayBegin(true));
 }
 
 fn is_given_up(courier: &Courier) -> bool {
@@ -132,11 +132,11 @@
         let attempt = fetch(&second);
         let passed = second.freeze();
         let (to, ends) = crossbeam_channel::unbounded();
-        second.leave(to);
+        second.hand_over(to);
         over(&second, attempt, end);
         drop(second);
         let third = courier_after(home.path(), BEGIN + Micros(3 * S), Some(passed));
-        ends.try_iter().for_each(|call| third.call_over(call));
+        ends.try_iter().for_each(|call| third.complete_inherited_call(call));
         over(&third, fetch(&third), End::NotBegun);
         drop(third);
         let fourth = courier(home.path(), BEGIN + WINDOW + Micros(S));
