--- a/lab/src/deployments/listing.rs
+++ b/lab/src/deployments/listing.rs
@@ -71,6 +71,6 @@
         }
         self.generation += 1;
         let word = Word { whole, ..Word::whole(Source::Watch, self.generation, lines, now) };
-        self.core.report(now, Report::List { front: 0, word });
+        self.core.report(now, Report::List { front: 0, update: word });
     }
 }
--- a/lab/src/deployments/play.rs
+++ b/lab/src/deployments/play.rs
@@ -293,7 +293,7 @@
         }
         stay.iter().for_each(|fetch| self.seen.begun(now, fetch));
         self.seen.slot(now, true);
-        let until = stay.iter().map(|f| f.until).min().unwrap_or(now);
+        let until = stay.iter().map(|f| f.deadline).min().unwrap_or(now);
         self.calls.insert(number, Call { fetches: stay, began: Some(now) });
         let (from, to) = self.world.service;
         let served = self.millis(from * 1_000.0, to * 1_000.0);
@@ -303,7 +303,7 @@
     fn over(&mut self, number: u64) {
         let now = self.now;
         let Some(call) = self.calls.get(&number) else { return };
-        let until = call.fetches.iter().map(|f| f.until).min().unwrap_or(now);
+        let until = call.fetches.iter().map(|f| f.deadline).min().unwrap_or(now);
         if until <= now {
             return self.ends(number, |_| End::TimedOut);
         }
@@ -350,7 +350,7 @@
         let (now, load) = (self.now, self.load());
         self.seen.over(now, &fetch, sent, end);
         let latency = now - sent;
-        self.core.report(now, Report::Done { fetch, end, latency, load, said: String::new() });
+        self.core.report(now, Report::Done { fetch, end, latency, load, reply: String::new() });
     }
 
     /// What an endpoint tells of its load, in the order of the settings, now and then odd.
--- a/lab/src/deployments/seen.rs
+++ b/lab/src/deployments/seen.rs
@@ -99,7 +99,7 @@
         }
         for fetch in call {
             self.must(now, fetch.backend.name == *to, || format!("one call to {to} and elsewhere"));
-            self.must(now, fetch.until <= fetch.req.due, || format!("{} past its time", fetch.msg));
+            self.must(now, fetch.deadline <= fetch.req.due, || format!("{} past its time", fetch.msg));
             let Some(m) = self.msgs.get(&fetch.msg) else {
                 self.broken(now, format!("a call for {}, which is not held", fetch.msg));
                 continue;
--- a/lab/src/virtual_time/mod.rs
+++ b/lab/src/virtual_time/mod.rs
@@ -496,7 +496,7 @@
     fn tell(&mut self, n: Instance, word: Word) {
         let now = self.now;
         if let Some(life) = self.machines[n as usize].life.as_mut() {
-            life.core.report(now, Report::List { front: 0, word });
+            life.core.report(now, Report::List { front: 0, update: word });
             self.settle(n);
         }
     }
@@ -620,7 +620,7 @@
         let keep = self.scenario.destinations.idle.scale(KEEP_SHARE);
         let Some(life) = self.machines[n as usize].life.as_mut() else { return };
         let (number, key) = (life.number, (fetch.msg, fetch.attempt));
-        let until = fetch.until;
+        let until = fetch.deadline;
         let (idle, stale) = life.take_idle(to, now, keep);
         life.out.insert(key, Out { fetch, to, stage: Stage::Connecting, sent: now });
         (0..stale).for_each(|_| self.world.disconnect(to));
@@ -658,7 +658,7 @@
         let Some(out) = life.out.get_mut(&key) else { return };
         out.stage = Stage::Connected;
         let (fetch, to) = (out.fetch.clone(), out.to);
-        let in_time = now < fetch.until;
+        let in_time = now < fetch.deadline;
         if !in_time || life.core.report(now, Report::Begin(fetch.clone())) != Answer::MayBegin(true) {
             return self.finish(n, key.0, key.1, End::Unsent, true);
         }
@@ -675,7 +675,7 @@
         self.calls.insert(call, (n, number, key.0, key.1, Reply::Break));
         let arrives = now + self.hop();
         self.at(arrives, Event::Arrives(n, number, key.0, key.1, call));
-        self.at(fetch.until.max(now), Event::TimesOut(n, number, key.0, key.1, call));
+        self.at(fetch.deadline.max(now), Event::TimesOut(n, number, key.0, key.1, call));
     }
 
     fn arrives(&mut self, n: Instance, life: u32, msg: u64, attempt: u8, call: CallNo) {
@@ -790,7 +790,7 @@
 }
 
 fn done(fetch: Fetch, end: End, latency: Micros) -> Report {
-    Report::Done { fetch, end, latency, load: Vec::new(), said: String::new() }
+    Report::Done { fetch, end, latency, load: Vec::new(), reply: String::new() }
 }
 
 /// A client's message by the id under which it was handed in.
--- a/src/core/batches.rs
+++ b/src/core/batches.rs
@@ -77,13 +77,13 @@
 /// of the rest may count for nothing. Danger: most answers come long before, and a call more is one more at the limit; so only
 /// those with very little time left go by themselves.
 pub(super) fn of_one_time(now: Micros, mut fetches: Vec<Fetch>) -> Vec<Vec<Fetch>> {
-    let longest = fetches.iter().map(|fetch| fetch.until).max().unwrap_or_default();
-    fetches.iter_mut().for_each(|fetch| fetch.until = longest.min(fetch.req.due));
-    fetches.sort_by_key(|fetch| std::cmp::Reverse(fetch.until));
+    let longest = fetches.iter().map(|fetch| fetch.deadline).max().unwrap_or_default();
+    fetches.iter_mut().for_each(|fetch| fetch.deadline = longest.min(fetch.req.due));
+    fetches.sort_by_key(|fetch| std::cmp::Reverse(fetch.deadline));
     let mut calls: Vec<Vec<Fetch>> = Vec::new();
     for fetch in fetches {
         let joins = |call: &&mut Vec<Fetch>| {
-            call.first().is_some_and(|first| fetch.until - now >= (first.until - now).scale(TIME_KEPT))
+            call.first().is_some_and(|first| fetch.deadline - now >= (first.deadline - now).scale(TIME_KEPT))
         };
         match calls.last_mut().filter(joins) {
             Some(call) => call.push(fetch),
@@ -91,8 +91,8 @@
         }
     }
     for call in &mut calls {
-        let least = call.iter().map(|fetch| fetch.until).min().unwrap_or_default();
-        call.iter_mut().for_each(|fetch| fetch.until = least);
+        let least = call.iter().map(|fetch| fetch.deadline).min().unwrap_or_default();
+        call.iter_mut().for_each(|fetch| fetch.deadline = least);
     }
     calls
 }
@@ -163,7 +163,14 @@
         };
         let backend = Arc::new(Backend { name: "b".into(), addr: "127.0.0.1:1".parse().unwrap() });
         let at = EndpointId { addr: [0; 4], port: 0 };
-        Fetch { msg, attempt: 0, endpoint: at, backend, req: Arc::new(req), until: Micros(until_ms * 1_000) }
+        Fetch {
+            msg,
+            attempt: 0,
+            endpoint: at,
+            backend,
+            req: Arc::new(req),
+            deadline: Micros(until_ms * 1_000),
+        }
     }
 
     #[test]
@@ -176,17 +183,17 @@
         let calls = of_one_time(now, fetches);
         for call in &calls {
             for member in call {
-                assert_eq!(member.until, call[0].until);
-                assert!(member.until <= member.req.due, "{} ends while its call is out", member.msg);
+                assert_eq!(member.deadline, call[0].deadline);
+                assert!(member.deadline <= member.req.due, "{} ends while its call is out", member.msg);
                 let own = member.req.due.min(Micros(6_000_000));
-                assert!(member.until - now >= (own - now).scale(TIME_KEPT), "{} is cut short", member.msg);
+                assert!(member.deadline - now >= (own - now).scale(TIME_KEPT), "{} is cut short", member.msg);
             }
         }
         let of = |call: &Vec<Fetch>| call.iter().map(|fetch| fetch.msg).collect::<Vec<_>>();
         assert_eq!(calls.iter().map(of).collect::<Vec<_>>(), [vec![0, 2, 5, 7, 8, 1], vec![3, 6], vec![4]]);
-        assert_eq!(calls[0][0].until, Micros(5_400_000));
+        assert_eq!(calls[0][0].deadline, Micros(5_400_000));
         // Where all have time enough, all of it is waited for.
         let calls = of_one_time(now, vec![fetch(0, 6_000, 90_000), fetch(1, 5_500, 80_000)]);
-        assert_eq!((calls.len(), calls[0][1].until), (1, Micros(6_000_000)));
+        assert_eq!((calls.len(), calls[0][1].deadline), (1, Micros(6_000_000)));
     }
 }
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -60,7 +60,7 @@
             held.in_flight = true;
             let until = now;
             let goes = self.register.book(req.front, now).call(now, &backend.name, msg);
-            let fetch = Fetch { msg, attempt, endpoint: at, backend, req, until };
+            let fetch = Fetch { msg, attempt, endpoint: at, backend, req, deadline: until };
             if goes {
                 call.push((fetch, cap));
             } else {
@@ -84,9 +84,9 @@
 
     /// With its deadline, now that its turn has come.
     fn timed(&self, now: Micros, mut fetch: Fetch, cap: Micros) -> Fetch {
-        fetch.until = (now + cap).min(fetch.req.due);
+        fetch.deadline = (now + cap).min(fetch.req.due);
         if let Some(stop_at) = self.stop_at {
-            fetch.until = fetch.until.min(stop_at);
+            fetch.deadline = fetch.deadline.min(stop_at);
         }
         fetch
     }
@@ -122,7 +122,7 @@
         let Some(held) = self.messages.get_mut(&msg) else { return };
         held.decided = true;
         let said = self.journal.owed().get(&msg).map(|o| o.said.clone()).unwrap_or_default();
-        let notice = Notice { msg, req: held.req.clone(), verdict, said };
+        let notice = Notice { msg, req: held.req.clone(), verdict, last_reply: said };
         match &mut held.orders_after_answer {
             Some(parked) => parked.push(Order::Notice(notice)),
             None => self.tell(now, notice),
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -111,7 +111,7 @@
         match what {
             Report::Begin(_) => return Answer::MayBegin(false),
             Report::Req(_) => return Answer::Refused(self.stay_away()),
-            Report::Done { fetch, end, latency, load, said } => {
+            Report::Done { fetch, end, latency, load, reply: said } => {
                 self.complete_while_inactive(vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
             what => {
@@ -180,7 +180,7 @@
             };
             let held = self.messages.entry(id).or_insert(msg);
             if let Some(verdict) = owed.verdict {
-                let notice = Order::Notice(Notice { msg: id, req, verdict, said: owed.said });
+                let notice = Order::Notice(Notice { msg: id, req, verdict, last_reply: owed.said });
                 match &mut held.orders_after_answer {
                     Some(parked) => parked.push(notice),
                     None => drop(self.order_sender.send(notice)),
@@ -204,7 +204,7 @@
                         Arc::new(Backend { name, addr: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)) });
                     let until = req.due;
                     self.predecessor_fetches
-                        .insert(id, Fetch { msg: id, attempt, endpoint: at, backend, req, until });
+                        .insert(id, Fetch { msg: id, attempt, endpoint: at, backend, req, deadline: until });
                 }
                 None => {
                     let risk = owed.risk.map(|(at, name)| (at, self.intern(req.front, &name)));
@@ -248,7 +248,7 @@
     pub fn complete_inherited_call(&self, over: CompletedCall) {
         let CompletedCall { msg, end, latency, load, said } = over;
         let Some(fetch) = self.state().predecessor_fetches.remove(&msg) else { return };
-        self.report(Report::Done { fetch, end, latency, load, said });
+        self.report(Report::Done { fetch, end, latency, load, reply: said });
     }
 
     /// The other process is gone: what it had out may have run, and nobody will say so.
@@ -257,7 +257,7 @@
         let count = lost.len();
         for fetch in lost {
             let (latency, load, said) = (Micros(0), Vec::new(), String::new());
-            self.report(Report::Done { fetch, end: End::CalledOff, latency, load, said });
+            self.report(Report::Done { fetch, end: End::CalledOff, latency, load, reply: said });
         }
         count
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -313,7 +313,7 @@
                 self.heard_wait(now, front, dest, wait);
                 self.remember(now);
             }
-            Report::Done { fetch, end, latency, load, said } => {
+            Report::Done { fetch, end, latency, load, reply: said } => {
                 self.done(now, vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
             Report::NoticeDelivered(msg) => {
@@ -324,7 +324,7 @@
                 self.finish(now, msg, ended, how, None);
                 self.lay_down();
             }
-            Report::List { front, word } => {
+            Report::List { front, update: word } => {
                 if let Some(hand) = &self.overrides {
                     hand.listed(word.lines.iter().map(|line| line.name.as_str()));
                 }
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -21,7 +21,7 @@
     /// What to send.
     pub req: Arc<Req>,
     /// Absolute deadline of this fetch, never past the req's own.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 /// A message that ended otherwise than by delivery; its client must be told.
@@ -34,7 +34,7 @@
     /// Its end.
     pub verdict: Verdict,
     /// What a backend last said of it.
-    pub said: String,
+    pub last_reply: String,
 }
 
 /// What is to be done next.
@@ -151,7 +151,7 @@
         /// What the backend told of its load, in the order of the settings.
         load: Vec<f32>,
         /// Its last word, where it has words.
-        said: String,
+        reply: String,
     },
     /// The client has been told the end of this message.
     NoticeDelivered(u64),
@@ -160,7 +160,7 @@
         /// Whose list it is.
         front: u8,
         /// What its source says.
-        word: Word,
+        update: Word,
     },
     /// The watch on the list is open, and nothing has changed.
     ListUnchanged(u8),
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -133,7 +133,7 @@
 
     /// Takes in what happened.
     pub fn report(&self, what: Report) -> Answer {
-        if let Report::Done { fetch, end, latency, load, said } = what {
+        if let Report::Done { fetch, end, latency, load, reply: said } = what {
             self.over(vec![FinishedFetch { fetch, end, latency, load, said }]);
             return Answer::Acknowledged;
         }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -163,7 +163,7 @@
         let places = names.places();
         let now = courier.clock.now();
         let tell = |word: Word| {
-            courier.report(Report::List { front: platform::FRONT, word });
+            courier.report(Report::List { front: platform::FRONT, update: word });
         };
         let read = Read { list: known, unread: Vec::new() };
         // What the configuration knows is a whole list, whatever it calls itself.
@@ -182,7 +182,7 @@
         }
         for (front, list) in lists {
             let word = Word::whole(Source::Watch, list.generation, list.lines, now);
-            courier.report(Report::List { front, word });
+            courier.report(Report::List { front, update: word });
         }
         if let Some(file) = reg.fixed {
             let mut file = Fixed::new(file, places);
@@ -362,7 +362,7 @@
                 keep_list(&courier, keeper, disk.saturating_sub(others));
             }
             if let Some(word) = fixed.as_mut().and_then(|f: &mut Fixed| f.look(courier.clock.now())) {
-                courier.report(Report::List { front: platform::FRONT, word });
+                courier.report(Report::List { front: platform::FRONT, update: word });
             }
         }
         thread::sleep(next.saturating_duration_since(Instant::now()));
--- a/src/net/mail/bounce.rs
+++ b/src/net/mail/bounce.rs
@@ -105,7 +105,7 @@
                 wait.0.div_ceil(1_000_000)
             ),
         ),
-        Verdict::GivenUp if notice.said.starts_with('5') => {
+        Verdict::GivenUp if notice.last_reply.starts_with('5') => {
             ("5.0.0", "The partner's server has refused it. It has not taken effect.".to_owned())
         }
         Verdict::GivenUp => (
@@ -117,14 +117,14 @@
     };
     // The server's own enhanced code says more, where it gave one.
     let own = notice
-        .said
+        .last_reply
         .split(' ')
         .nth(1)
-        .filter(|w| w.split('.').count() == 3 && notice.said.starts_with(&w[..1]));
+        .filter(|w| w.split('.').count() == 3 && notice.last_reply.starts_with(&w[..1]));
     let status = own.unwrap_or(status);
-    let said = if notice.said.is_empty() { "none" } else { &notice.said };
+    let said = if notice.last_reply.is_empty() { "none" } else { &notice.last_reply };
     // Only what a server has replied is an SMTP diagnostic.
-    let kind = if notice.said.starts_with(|c: char| c.is_ascii_digit()) { "smtp" } else { "x-courier" };
+    let kind = if notice.last_reply.starts_with(|c: char| c.is_ascii_digit()) { "smtp" } else { "x-courier" };
     let header = header(&notice.req.body);
     let mut out = format!(
         "From: Mail Delivery System <postmaster@{host}>\r\n\
--- a/src/net/mail/client.rs
+++ b/src/net/mail/client.rs
@@ -61,7 +61,7 @@
             mail.conns.keep(&fetch.backend, stream, tag);
         }
         let latency = Micros(started.elapsed().as_micros() as u64);
-        mail.courier.report(Report::Done { fetch, end, latency, load: Vec::new(), said });
+        mail.courier.report(Report::Done { fetch, end, latency, load: Vec::new(), reply: said });
     }
 }
 
@@ -140,7 +140,7 @@
 
 fn attempt(mail: &Mail, fetch: &Fetch) -> Result<(End, String, Spare), Fault> {
     let (clock, addr) = (&mail.courier.clock, fetch.backend.addr);
-    let until = clock.instant(fetch.until);
+    let until = clock.instant(fetch.deadline);
     let envelope = Envelope::of(&fetch.req.head);
     // The name of a backend begins with its destination.
     let protocol = MailBackend::protocol(fetch.backend.name.split_once('/').map_or("", |p| p.1));
--- a/src/net/mail/mod.rs
+++ b/src/net/mail/mod.rs
@@ -196,6 +196,6 @@
             })
         });
         let word = Word::whole(Source::Zone, 0, lines.collect(), self.courier.clock.now());
-        self.courier.report(Report::List { front: FRONT, word });
+        self.courier.report(Report::List { front: FRONT, update: word });
     }
 }
--- a/src/net/platform/batch.rs
+++ b/src/net/platform/batch.rs
@@ -80,7 +80,7 @@
         let clock = &self.platform.courier.clock;
         let first = self.riding.first()?.clone();
         // They have one deadline.
-        let until = clock.instant(first.until);
+        let until = clock.instant(first.deadline);
         let (stream, reused) = match fetch::connected(self.platform, &first, until) {
             Ok(connected) => connected,
             Err(end) => {
@@ -149,7 +149,8 @@
     /// The request's bytes; `None` if they don't fit, or the time of all is up.
     fn write(&self, buf: &mut Buf) -> Option<usize> {
         let now = self.platform.courier.clock.now();
-        let left_ms = self.riding.first().map(|fetch| (fetch.until - now).0 / 1000).filter(|ms| *ms > 0)?;
+        let left_ms =
+            self.riding.first().map(|fetch| (fetch.deadline - now).0 / 1000).filter(|ms| *ms > 0)?;
         let item = |fetch: &'_ Fetch| STANDARD.encode(&fetch.req.body);
         let items: Vec<Item> = self
             .riding
@@ -295,7 +296,7 @@
         };
         let backend = Arc::new(Backend { name: "b".into(), addr: "127.0.0.1:1".parse().unwrap() });
         let at = EndpointId { addr: [0; 4], port: 0 };
-        Fetch { msg: 0, attempt: 0, endpoint: at, backend, req: Arc::new(req), until: Micros(0) }
+        Fetch { msg: 0, attempt: 0, endpoint: at, backend, req: Arc::new(req), deadline: Micros(0) }
     }
 
     fn states(extra: &str, body: &str) -> States {
--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -117,7 +117,7 @@
         let (count, first) = (word.unread.len(), &word.unread[0]);
         tracing::warn!(target: "discovery", "{count} entries of the list can't be read, {first:?} first");
     }
-    platform.courier.report(Report::List { front: FRONT, word });
+    platform.courier.report(Report::List { front: FRONT, update: word });
     Ok(())
 }
 
--- a/src/net/platform/fetch.rs
+++ b/src/net/platform/fetch.rs
@@ -51,12 +51,12 @@
         platform.conns.keep(&fetch.backend, spare, 0);
     }
     let (end, latency, load, said) = (done.end, done.latency, done.load, String::new());
-    platform.courier.report(Report::Done { fetch, end, latency, load, said });
+    platform.courier.report(Report::Done { fetch, end, latency, load, reply: said });
 }
 
 fn attempt(platform: &Platform, fetch: &Fetch) -> Done {
     let clock = &platform.courier.clock;
-    let until = clock.instant(fetch.until);
+    let until = clock.instant(fetch.deadline);
     let (stream, reused) = match connected(platform, fetch, until) {
         Ok(connected) => connected,
         Err(end) => return Done::without_answer(end),
@@ -65,7 +65,7 @@
         return Done::without_answer(End::NotBegun);
     }
     let mut buf = platform.pool.get();
-    let left = (fetch.until - clock.now()).0 / 1000;
+    let left = (fetch.deadline - clock.now()).0 / 1000;
     let Some(len) = (left > 0).then(|| write_request(&mut buf, fetch, left)).flatten() else {
         return Done { spare: Some(stream), ..Done::without_answer(End::NotBegun) };
     };
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -27,7 +27,7 @@
 
 fn list(courier: &Courier, front: u8, backends: Vec<ListLine>) {
     let word = Word::whole(Source::Watch, 0, backends, courier.clock.now());
-    courier.report(Report::List { front, word });
+    courier.report(Report::List { front, update: word });
 }
 
 fn req(courier: &Courier, id: &str, front: u8, dest: u16, class: u16) -> Req {
@@ -70,7 +70,7 @@
 
 fn done(courier: &Courier, fetch: &Fetch, end: End) {
     let (fetch, load, said) = (fetch.clone(), Vec::new(), "its last word".to_owned());
-    courier.report(Report::Done { fetch, end, latency: Micros(1000), load, said });
+    courier.report(Report::Done { fetch, end, latency: Micros(1000), load, reply: said });
 }
 
 /// Guards against a fetch that begins before its req is answered: its client has not heard that it is taken.
@@ -130,7 +130,7 @@
     let journal = Journal::at(Box::new(Memory::default()), 3_000_000, start).unwrap();
     let (mut core, orders) = Core::new(settings, 1, start, journal, Options::default());
     let word = Word::whole(Source::Watch, 0, vec![line("a", 7, ListState::Up)], start);
-    core.report(start, Report::List { front: 0, word });
+    core.report(start, Report::List { front: 0, update: word });
     let ordered = |core: &mut Core, from: Micros| {
         (0..1_500).find_map(|n| {
             let now = from + Micros(n * 5_000);
@@ -160,14 +160,14 @@
         let (now, first) = ordered(&mut core, now).expect("a first fetch");
         assert_eq!(core.report(now, Report::Begin(first.clone())), Answer::MayBegin(true));
         let (end, latency, load, said) = (End::Broke, Micros(1_000), Vec::new(), String::new());
-        core.report(now + Micros(S), Report::Done { fetch: first, end, latency, load, said });
+        core.report(now + Micros(S), Report::Done { fetch: first, end, latency, load, reply: said });
         let (at, again) = ordered(&mut core, now + Micros(S)).expect("a repeat within the window");
         assert!(at < now + Micros(12 * S));
         // Its connection comes up at once, or once the window of 12 s is over.
         let begins = if late { now + Micros(12 * S + 1) } else { at };
         assert_eq!(core.report(begins, Report::Begin(again.clone())), Answer::MayBegin(!late), "{id}");
         let (end, load, said) = (if late { End::Unsent } else { End::Delivered }, Vec::new(), String::new());
-        core.report(begins, Report::Done { fetch: again, end, latency, load, said });
+        core.report(begins, Report::Done { fetch: again, end, latency, load, reply: said });
     }
 }
 
@@ -178,7 +178,7 @@
     let ask = |front, dest| courier.report(Report::Req(req(&courier, "x", front, dest, 0)));
     let backends = vec![line("a", 7, ListState::Up)];
     let word = Word::whole(Source::Known, 0, backends, courier.clock.now());
-    courier.report(Report::List { front: 0, word });
+    courier.report(Report::List { front: 0, update: word });
     assert!(matches!(ask(0, 9), Answer::Refused(_)), "the list may be old");
     list(&courier, 0, vec![line("a", 7, ListState::Up)]);
     assert_eq!(ask(0, 9), Answer::NoSuchDest);
@@ -269,7 +269,10 @@
     done(&courier, &out, End::Rejected);
     match next(&courier) {
         Order::Notice(notice) => {
-            assert_eq!((notice.msg, notice.verdict, &*notice.said), (msg, Verdict::GivenUp, "its last word"));
+            assert_eq!(
+                (notice.msg, notice.verdict, &*notice.last_reply),
+                (msg, Verdict::GivenUp, "its last word")
+            );
         }
         other => panic!("{other:?}"),
     }
@@ -304,7 +307,7 @@
     let courier = courier(&dir);
     let kept = |names: &[&str]| {
         let lines = names.iter().map(|n| line(n, 3, ListState::Up)).collect();
-        Report::List { front: 0, word: Word::whole(Source::Known, 0, lines, Clock::start().now()) }
+        Report::List { front: 0, update: Word::whole(Source::Known, 0, lines, Clock::start().now()) }
     };
     courier.report(kept(&["gone"]));
     let first = take(&courier, "m1", 3, 0);
--- a/tests/history_backlog.rs
+++ b/tests/history_backlog.rs
@@ -43,7 +43,7 @@
     let addr: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let (name, state) = ("a".to_owned(), ListState::Up);
     let line = ListLine { name, addr, dest: 7, kind: 0, zone: 0, state, weight: 1e6, rank: 0 };
-    courier.report(Report::List { front: 0, word: Word::whole(Source::Watch, 0, vec![line], clock.now()) });
+    courier.report(Report::List { front: 0, update: Word::whole(Source::Watch, 0, vec![line], clock.now()) });
     Arc::new(courier)
 }
 
--- a/tests/history_ends.rs
+++ b/tests/history_ends.rs
@@ -147,10 +147,10 @@
     let (name, state) = ("a".to_owned(), ListState::Up);
     let line = ListLine { name, addr, dest: 7, kind: 0, zone: 0, state, weight: 1.0, rank: 0 };
     let word = Word::whole(Source::Watch, 0, vec![line], clock.now());
-    courier.report(Report::List { front: 0, word });
+    courier.report(Report::List { front: 0, update: word });
     let over = |courier: &Courier, fetch: Fetch, end| {
         let said = "x".repeat(3_000);
-        courier.report(Report::Done { fetch, end, latency: Micros(1_000), load: Vec::new(), said });
+        courier.report(Report::Done { fetch, end, latency: Micros(1_000), load: Vec::new(), reply: said });
     };
     // Put away after each round, and in the midst of the last.
     for round in 0..3 {
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -105,7 +105,7 @@
             rank: 0,
         };
         let word = Word::whole(Source::Watch, 1, names.iter().map(line).collect(), self.now);
-        self.core.report(self.now, Report::List { front: 0, word });
+        self.core.report(self.now, Report::List { front: 0, update: word });
     }
 
     /// Takes a message on and has its client told.
@@ -145,7 +145,7 @@
         let Some(Order::Fetch(fetch)) = order else { panic!("{order:?}") };
         assert_eq!(self.core.report(self.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
         let (latency, load, said) = (Micros(1000), Vec::new(), String::new());
-        self.core.report(self.now, Report::Done { fetch, end, latency, load, said });
+        self.core.report(self.now, Report::Done { fetch, end, latency, load, reply: said });
     }
 
     fn probe(&mut self) -> Probe {
--- a/tests/recording.rs
+++ b/tests/recording.rs
@@ -38,7 +38,7 @@
         weight: 1.0,
         rank: 0,
     };
-    core.report(now, Report::List { front: 0, word: Word::whole(Source::Watch, 0, vec![line], now) });
+    core.report(now, Report::List { front: 0, update: Word::whole(Source::Watch, 0, vec![line], now) });
     Life { core, orders, now }
 }
 
@@ -85,7 +85,7 @@
 
     fn done(&mut self, fetch: &Fetch, end: End) {
         let (fetch, load, said) = (fetch.clone(), Vec::new(), String::new());
-        self.core.report(self.now, Report::Done { fetch, end, latency: Micros(1_000), load, said });
+        self.core.report(self.now, Report::Done { fetch, end, latency: Micros(1_000), load, reply: said });
     }
 }
 
--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -80,7 +80,7 @@
         rank: 0,
     };
     let word = Word::whole(Source::Watch, 1, vec![line], clock.now());
-    courier.report(Report::List { front: 0, word });
+    courier.report(Report::List { front: 0, update: word });
     let ((say, told), (hang, hangs)) = (bounded(64), bounded(1));
     let (seen, turns, loud): (Arc<AtomicU64>, Arc<AtomicU64>, Arc<AtomicBool>) = Default::default();
     let (by, count, wild) = (seen.clone(), turns.clone(), loud.clone());
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -42,7 +42,7 @@
     let line =
         ListLine { name, addr, dest: DEST, kind: 0, zone: 0, state: ListState::Up, weight: 1.0, rank: 0 };
     let word = Word::whole(Source::Watch, 0, vec![line], courier.clock.now());
-    courier.report(Report::List { front: 0, word });
+    courier.report(Report::List { front: 0, update: word });
 }
 
 /// The next order that concerns a message.
@@ -65,7 +65,7 @@
 
 fn over(courier: &Courier, fetch: Fetch, end: End) {
     let (latency, load, said) = (Micros(1_000), Vec::new(), String::new());
-    courier.report(Report::Done { fetch, end, latency, load, said });
+    courier.report(Report::Done { fetch, end, latency, load, reply: said });
 }
 
 /// A message whose only call was out when its process was killed.
