--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! A sender and its clock for tests; feeds events, keeps the actions of the last round.
+//! Shared settings, endpoints and a harness that drives a `Sender` with a simulated clock.
 #![allow(dead_code)]
 
 use indigohold::*;
 
+/// One second in microseconds.
 pub const S: u64 = 1_000_000;
 
 pub fn endpoint(n: u8) -> EndpointId {
@@ -24,6 +25,7 @@
     Effect::Keyed { group: Group::All, window: Micros(12 * S) }
 }
 
+/// Class 0 is safe to repeat, class 1 has keys, and class 2 must not be repeated.
 pub fn settings() -> Settings {
     Settings {
         senders: 1,
@@ -70,7 +72,7 @@
     }
 }
 
-/// A sent attempt that is still out.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     pub id: u64,
@@ -79,63 +81,65 @@
     pub sent: u64,
 }
 
-pub struct Bench {
+/// Feeds events to a sender, and keeps its attempts in flight, its timers and the actions of the last round.
+pub struct SenderHarness {
     pub sender: Sender,
     pub now: u64,
-    pub last: Vec<Action>,
-    pub out: Vec<Attempt>,
-    pub tries: std::collections::BTreeMap<u64, u8>,
-    pub alarms: Vec<u64>,
+    pub last_actions: Vec<Action>,
+    pub in_flight: Vec<Attempt>,
+    pub attempt_counts: std::collections::BTreeMap<u64, u8>,
+    pub timers: Vec<u64>,
 }
 
-impl Bench {
-    pub fn new(settings: Settings, entries: Vec<Entry>) -> Bench {
-        Bench::seeded(settings, entries, 7)
+impl SenderHarness {
+    pub fn new(settings: Settings, entries: Vec<Entry>) -> SenderHarness {
+        SenderHarness::seeded(settings, entries, 7)
     }
 
-    pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> Bench {
-        let mut bench = Bench::unlisted(settings, seed);
-        bench.feed(vec![Event::WholeList(entries)]);
-        bench
+    pub fn seeded(settings: Settings, entries: Vec<Entry>, seed: u64) -> SenderHarness {
+        let mut harness = SenderHarness::without_list(settings, seed);
+        harness.feed(vec![Event::WholeList(entries)]);
+        harness
     }
 
-    /// One that was told no list yet.
-    pub fn unlisted(settings: Settings, seed: u64) -> Bench {
-        Bench {
+    /// A sender that has received no endpoint list yet.
+    pub fn without_list(settings: Settings, seed: u64) -> SenderHarness {
+        SenderHarness {
             sender: Sender::new(settings, seed),
             now: S,
-            last: vec![],
-            out: vec![],
-            tries: Default::default(),
-            alarms: vec![],
+            last_actions: vec![],
+            in_flight: vec![],
+            attempt_counts: Default::default(),
+            timers: vec![],
         }
     }
 
-    /// One round at the present time.
+    /// Runs one round at the present time.
     pub fn feed(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = vec![];
         self.sender.handle(Micros(self.now), &events, &mut actions);
         for action in &actions {
             match action {
                 Action::Try { id, endpoint, .. } => {
-                    let number = self.tries.entry(id.0).or_default();
-                    self.out.push(Attempt { id: id.0, endpoint: *endpoint, number: *number, sent: self.now });
+                    let number = self.attempt_counts.entry(id.0).or_default();
+                    let attempt = Attempt { id: id.0, endpoint: *endpoint, number: *number, sent: self.now };
+                    self.in_flight.push(attempt);
                     *number += 1;
                 }
-                Action::SetTimer { after, .. } => self.alarms.push(self.now + after.0),
+                Action::SetTimer { after, .. } => self.timers.push(self.now + after.0),
                 _ => {}
             }
         }
-        self.last = actions.clone();
+        self.last_actions = actions.clone();
         actions
     }
 
-    /// Passes time, ringing timers as they were set; returns all that was done on the way.
+    /// Lets time pass and fires the timers that are due; returns all actions on the way.
     pub fn wait(&mut self, micros: u64) -> Vec<Action> {
         let end = self.now + micros;
         let mut all = vec![];
-        while let Some(at) = self.alarms.iter().copied().filter(|a| *a <= end).min() {
-            self.alarms.retain(|a| *a != at);
+        while let Some(at) = self.timers.iter().copied().filter(|at| *at <= end).min() {
+            self.timers.retain(|t| *t != at);
             self.now = self.now.max(at);
             all.extend(self.feed(vec![Event::Elapsed(TimerToken(0))]));
         }
@@ -144,10 +148,12 @@
     }
 
     pub fn demand(&mut self, id: u64, destination: u16, class: u16) -> Vec<Action> {
-        self.demand_key(id, destination, class, None)
+        self.demand_with_key(id, destination, class, None)
     }
 
-    pub fn demand_key(&mut self, id: u64, destination: u16, class: u16, key: Option<u64>) -> Vec<Action> {
+    pub fn demand_with_key(
+        &mut self, id: u64, destination: u16, class: u16, key: Option<u64>,
+    ) -> Vec<Action> {
         let event = self.message(id, destination, class, key);
         self.feed(vec![event])
     }
@@ -163,27 +169,28 @@
         })
     }
 
-    /// Ends the oldest attempt that is out for a message.
+    /// Ends the oldest attempt in flight for a message.
     pub fn returns(&mut self, id: u64, outcome: Outcome) -> Vec<Action> {
-        self.returns_with(id, outcome, vec![])
+        self.returns_with_report(id, outcome, vec![])
     }
 
-    pub fn returns_with(&mut self, id: u64, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
-        let at = self.out.iter().position(|a| a.id == id).expect("an attempt is out");
-        let a = self.out.remove(at);
+    pub fn returns_with_report(&mut self, id: u64, outcome: Outcome, report: Vec<f32>) -> Vec<Action> {
+        let at = self.in_flight.iter().position(|a| a.id == id).expect("an attempt is in flight");
+        let attempt = self.in_flight.remove(at);
         self.feed(vec![Event::Returned {
             id: MessageId(id),
-            endpoint: a.endpoint,
+            endpoint: attempt.endpoint,
             outcome,
             terminal: outcome == Outcome::Ok,
-            latency: Micros(self.now - a.sent),
-            attempt: a.number,
+            latency: Micros(self.now - attempt.sent),
+            attempt: attempt.number,
             report,
         }])
     }
 }
 
-pub fn tries(actions: &[Action]) -> Vec<u64> {
+/// Ids of the messages for which the actions start an attempt.
+pub fn attempted_ids(actions: &[Action]) -> Vec<u64> {
     let id = |a: &Action| match a {
         Action::Try { id, .. } => Some(id.0),
         _ => None,
@@ -191,7 +198,8 @@
     actions.iter().filter_map(id).collect()
 }
 
-pub fn answers(actions: &[Action]) -> Vec<u64> {
+/// Ids of the messages that get a final answer.
+pub fn answered_ids(actions: &[Action]) -> Vec<u64> {
     let id = |a: &Action| match a {
         Action::Decline { id, .. } | Action::Fail(id) => Some(id.0),
         _ => None,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -16,9 +16,9 @@
 fn asks(senders: u32, instances: u64, span: u64) -> Vec<u64> {
     let mut asks = vec![];
     for seed in 0..instances {
-        let mut b = Bench::seeded(set_of(senders), vec![entry(1, 7)], seed);
+        let mut b = SenderHarness::seeded(set_of(senders), vec![entry(1, 7)], seed);
         let start = b.now;
-        let mut open = b.last.contains(&Action::Follow).then_some(start);
+        let mut open = b.last_actions.contains(&Action::Follow).then_some(start);
         while b.now < start + span {
             if let Some(at) = open.take() {
                 asks.push(at - start);
@@ -52,7 +52,7 @@
 fn no_fleet_is_so_large_that_its_couriers_ask_too_late() {
     for senders in [3, 40, 100, 300, 900, u32::MAX] {
         for seed in 0..20 {
-            let mut b = Bench::seeded(set_of(senders), vec![entry(1, 7)], seed);
+            let mut b = SenderHarness::seeded(set_of(senders), vec![entry(1, 7)], seed);
             for _ in 0..12 {
                 b.feed(vec![Event::ListFailed]);
                 let failed = b.now;
@@ -85,14 +85,14 @@
 #[test]
 fn only_discovery_s_word_ends_the_backoff() {
     let next_ask = |news: fn(Vec<Entry>) -> Event| {
-        let mut b = Bench::new(set_of(3), vec![entry(1, 7)]);
+        let mut b = SenderHarness::new(set_of(3), vec![entry(1, 7)]);
         for _ in 0..8 {
             b.feed(vec![Event::ListFailed]);
             b.feed(vec![news(vec![entry(1, 7)])]);
         }
         let failed = b.now;
         b.feed(vec![Event::ListFailed]);
-        while !b.last.contains(&Action::Follow) {
+        while !b.last_actions.contains(&Action::Follow) {
             assert!(b.now < failed + 10 * S);
             b.now += 10_000;
             b.feed(vec![]);
@@ -157,8 +157,8 @@
     set.weights = Weights::Nominal;
     (set.report_left, set.report_limit) = (Some(0), Some(1));
     let line = Entry { weight: limit(0), ..entry(1, 7) };
-    let seeded = |seed| Bench::seeded(set.clone(), vec![line.clone()], u64::from(seed));
-    let mut fleet: Vec<Bench> = (0..senders).map(seeded).collect();
+    let seeded = |seed| SenderHarness::seeded(set.clone(), vec![line.clone()], u64::from(seed));
+    let mut fleet: Vec<SenderHarness> = (0..senders).map(seeded).collect();
     let start = fleet[0].now;
     let mut at = Shared::new(limit(0), start);
     let mut seen = Seen { taken: vec![0.0; 41], refused: vec![0.0; 41] };
@@ -177,7 +177,7 @@
         let mut sent: Vec<(usize, u64)> = vec![];
         for (n, b) in fleet.iter_mut().enumerate() {
             let till = now.saturating_sub(b.now);
-            sent.extend(tries(&b.wait(till)).into_iter().map(|id| (n, id)));
+            sent.extend(attempted_ids(&b.wait(till)).into_iter().map(|id| (n, id)));
         }
         while next <= now {
             let n = (draw() * f64::from(senders)) as usize;
@@ -185,14 +185,14 @@
             let Event::Demand(message) = fleet[n].message(id, 7, 0, None) else { unreachable!() };
             let due = Micros(now + 5 * S);
             let all = fleet[n].feed(vec![Event::Demand(Message { due, ..message })]);
-            sent.extend(tries(&all).into_iter().map(|id| (n, id)));
+            sent.extend(attempted_ids(&all).into_iter().map(|id| (n, id)));
             next += (-(1.0 - draw()).ln() / demand * S as f64) as u64;
         }
         while out.first().is_some_and(|o| o.0 <= now) {
             let (_, n, id, taken, told) = out.remove(0);
             let outcome = if taken { Outcome::Ok } else { Outcome::Full(None) };
-            let all = fleet[n].returns_with(id, outcome, told.to_vec());
-            sent.extend(tries(&all).into_iter().map(|id| (n, id)));
+            let all = fleet[n].returns_with_report(id, outcome, told.to_vec());
+            sent.extend(attempted_ids(&all).into_iter().map(|id| (n, id)));
         }
         for (n, id) in sent {
             let taken = at.call(now);
@@ -226,18 +226,18 @@
             let mut set = set_of(senders);
             set.weights = Weights::Nominal;
             (set.report_left, set.report_limit) = (Some(0), Some(1));
-            let mut b = Bench::new(set, vec![Entry { weight: f64::from(weight), ..entry(1, 7) }]);
+            let mut b = SenderHarness::new(set, vec![Entry { weight: f64::from(weight), ..entry(1, 7) }]);
             for (n, (left, limit)) in odd.iter().flat_map(|l| odd.iter().map(move |r| (*l, *r))).enumerate() {
                 b.demand(n as u64, 7, 0);
                 let outcome = if n % 3 == 0 { Outcome::Full(None) } else { Outcome::Ok };
-                let out: Vec<u64> = b.out.iter().map(|a| a.id).collect();
-                out.into_iter().for_each(|id| drop(b.returns_with(id, outcome, vec![left, limit])));
+                let out: Vec<u64> = b.in_flight.iter().map(|a| a.id).collect();
+                out.into_iter().for_each(|id| drop(b.returns_with_report(id, outcome, vec![left, limit])));
                 b.feed(vec![Event::ListChange(vec![Entry { weight: f64::from(weight), ..entry(1, 7) }])]);
             }
             b.demand(1000, 7, 0);
-            let before = b.tries.contains_key(&1000);
+            let before = b.attempt_counts.contains_key(&1000);
             let all = b.wait(40 * S);
-            let over = answers(&all).contains(&1000) || b.out.iter().any(|a| a.id == 1000);
+            let over = answered_ids(&all).contains(&1000) || b.in_flight.iter().any(|a| a.id == 1000);
             assert!(before || over, "{senders} senders, weight {weight}: no word of a message");
         }
     }
@@ -247,13 +247,13 @@
 /// them all for as long as it serves, and its connection is kept.
 #[test]
 fn few_calls_go_where_a_connection_is() {
-    let mut b = Bench::new(set_of(100), vec![entry(1, 7), entry(2, 7)]);
+    let mut b = SenderHarness::new(set_of(100), vec![entry(1, 7), entry(2, 7)]);
     b.now += 100 * S;
     let mut went = vec![];
     let mut let_go = 0;
     for id in 0..30 {
         b.demand(id, 7, 0);
-        went.push(b.out[0].endpoint);
+        went.push(b.in_flight[0].endpoint);
         b.now += 50_000;
         let done = b.returns(id, Outcome::Ok);
         let_go += usize::from(id > 10 && done.iter().any(|a| matches!(a, Action::LetGo(_))));
--- a/tests/full_tables.rs
+++ b/tests/full_tables.rs
@@ -58,8 +58,8 @@
     set.classes[0].aim = Micros(5 * S / 2);
     (set.report_left, set.report_limit) = (Some(0), Some(1));
     let list: Vec<Entry> = (0..DESTINATIONS as u16).map(|to| entry(to as u8, to)).collect();
-    let seeded = |seed| Bench::seeded(set.clone(), list.clone(), seed);
-    let mut fleet: Vec<Bench> = (0..SENDERS as u64).map(seeded).collect();
+    let seeded = |seed| SenderHarness::seeded(set.clone(), list.clone(), seed);
+    let mut fleet: Vec<SenderHarness> = (0..SENDERS as u64).map(seeded).collect();
     let (start, mut table) = (fleet[0].now, Table::default());
     let (mut handed_in, mut in_time, mut given_in) = (0, 0, BTreeMap::new());
     // When it ends, whose it is, which message, and whether it was taken.
@@ -90,13 +90,13 @@
                 table.idle.entry((to, n)).or_default().push(now);
                 in_time += usize::from(now < given_in[&id] + 5 * S / 2);
             }
-            done.push((n, fleet[n].returns_with(id, outcome, report)));
+            done.push((n, fleet[n].returns_with_report(id, outcome, report)));
         }
         for (n, actions) in done {
             for endpoint in let_go(&actions) {
                 table.idle.remove(&(endpoint.addr[3].into(), n));
             }
-            for id in tries(&actions) {
+            for id in attempted_ids(&actions) {
                 let taken = table.call(now, id as usize % DESTINATIONS, n);
                 out.push((now + if taken { SERVICE } else { 40_000 }, n, id, taken));
             }
@@ -113,19 +113,19 @@
     let lets_go = |report: Vec<f32>| {
         let mut set = settings();
         (set.report_left, set.report_limit) = (Some(0), Some(1));
-        let mut b = Bench::new(set, vec![entry(1, 7)]);
+        let mut b = SenderHarness::new(set, vec![entry(1, 7)]);
         for id in 0..3 {
             b.demand(id, 7, 0);
-            b.returns_with(id, Outcome::Full(None), report.clone());
+            b.returns_with_report(id, Outcome::Full(None), report.clone());
             b.wait(20 * S);
-            b.returns_with(id, Outcome::Ok, vec![0.9, 70.0]);
+            b.returns_with_report(id, Outcome::Ok, vec![0.9, 70.0]);
             b.wait(20 * S);
         }
         // Three messages in three seconds: a connection trusted for five of them stays open.
         (10..13).any(|id| {
             b.demand(id, 7, 0);
             b.wait(S);
-            let goes = let_go(&b.returns_with(id, Outcome::Ok, vec![0.9, 70.0]));
+            let goes = let_go(&b.returns_with_report(id, Outcome::Ok, vec![0.9, 70.0]));
             id > 10 && !goes.is_empty()
         })
     };
--- a/tests/held_up.rs
+++ b/tests/held_up.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{class, entry, settings, Bench, S};
+use common::{class, entry, settings, SenderHarness, S};
 use indigohold::*;
 
 /// How long a process may be held up between reading its clock and writing.
@@ -14,7 +14,7 @@
         let window = Micros(window_ms * 1_000);
         let mut set = settings();
         set.classes = vec![class(Effect::Keyed { group: Group::All, window })];
-        let mut bench = Bench::new(set, vec![entry(1, 7)]);
+        let mut bench = SenderHarness::new(set, vec![entry(1, 7)]);
         let sent = bench.now;
         let message = Message {
             id: MessageId(9),
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -18,7 +18,7 @@
     actions.iter().filter_map(at).collect()
 }
 
-impl Bench {
+impl SenderHarness {
     fn probed(&mut self, at: EndpointId, outcome: Outcome) -> Vec<Action> {
         let (latency, report) = (Micros(10_000), vec![]);
         self.feed(vec![Event::Probed { endpoint: at, outcome, latency, report }])
@@ -28,16 +28,16 @@
 const ENDPOINTS: u8 = 4;
 
 /// A destination that refused once, so that it has a low pace, and then could not be reached.
-fn out_at_a_low_pace() -> Bench {
-    let mut b = Bench::new(probing(), (1..=ENDPOINTS).map(|n| entry(n, 7)).collect());
+fn out_at_a_low_pace() -> SenderHarness {
+    let mut b = SenderHarness::new(probing(), (1..=ENDPOINTS).map(|n| entry(n, 7)).collect());
     b.demand(1, 7, 0);
     b.now += 10_000;
     b.returns(1, Outcome::Full(None));
     for id in 10..200 {
         b.demand(id, 7, 0);
-        let mut done = b.last.clone();
+        let mut done = b.last_actions.clone();
         done.extend(b.wait(S / 2));
-        let out: Vec<u64> = b.out.iter().map(|a| a.id).collect();
+        let out: Vec<u64> = b.in_flight.iter().map(|a| a.id).collect();
         out.iter().for_each(|id| done.extend(b.returns(*id, Outcome::ConnectFailed)));
         if !probes(&done).is_empty() {
             return b;
@@ -52,20 +52,20 @@
 fn many_probes_put_the_next_call_off_by_one_gap_at_most() {
     let mut b = out_at_a_low_pace();
     // It stays out for a minute, and each of its endpoints is asked again and again.
-    let mut asked = probes(&b.last.clone());
+    let mut asked = probes(&b.last_actions.clone());
     for _ in 0..240 {
         for at in std::mem::take(&mut asked) {
             asked.extend(probes(&b.probed(at, Outcome::ConnectFailed)));
         }
         b.demand(1_000 + b.now, 7, 0);
-        asked.extend(probes(&b.last.clone()));
+        asked.extend(probes(&b.last_actions.clone()));
         asked.extend(probes(&b.wait(S / 4)));
     }
     asked.iter().for_each(|at| drop(b.probed(*at, Outcome::ConnectFailed)));
-    while !probes(&b.last).contains(&endpoint(1)) {
+    while !probes(&b.last_actions).contains(&endpoint(1)) {
         b.wait(5_000);
-        let others: Vec<_> = probes(&b.last).into_iter().filter(|at| *at != endpoint(1)).collect();
-        let found = probes(&b.last).contains(&endpoint(1));
+        let others: Vec<_> = probes(&b.last_actions).into_iter().filter(|at| *at != endpoint(1)).collect();
+        let found = probes(&b.last_actions).contains(&endpoint(1));
         others.iter().for_each(|at| drop(b.probed(*at, Outcome::ConnectFailed)));
         if found {
             break;
@@ -74,7 +74,7 @@
     b.probed(endpoint(1), Outcome::Ok);
     b.demand(900, 7, 0);
     let done = b.wait(10 * S);
-    assert!(!tries(&done).is_empty(), "a message may try within a gap of the slowest pace");
+    assert!(!attempted_ids(&done).is_empty(), "a message may try within a gap of the slowest pace");
 }
 
 /// Guards against a busy destination that counts as out for as long as others use its limit up: it answers, so it is up.
@@ -84,7 +84,7 @@
     b.demand(900, 7, 0);
     b.probed(endpoint(1), Outcome::Full(None));
     let done = b.wait(10 * S);
-    assert!(!tries(&done).is_empty(), "a message tries, and not only the next probe");
+    assert!(!attempted_ids(&done).is_empty(), "a message tries, and not only the next probe");
 }
 
 /// A destination at its limit from the first second refuses in a row; that is no outage, whether anything was ever taken
@@ -93,7 +93,7 @@
 fn two_refusals_right_after_the_start_are_no_outage() {
     let mut soon = 0;
     for seed in 0..40 {
-        let mut b = Bench::seeded(settings(), vec![], seed);
+        let mut b = SenderHarness::seeded(settings(), vec![], seed);
         // The clock of a real life begins far from 0.
         b.now = 1_000_000 * S;
         let listed = b.now;
@@ -102,7 +102,7 @@
         for id in 1..=8 {
             b.demand(id, 7, 0);
             b.wait(S / 2);
-            let out: Vec<u64> = b.out.iter().map(|a| a.id).collect();
+            let out: Vec<u64> = b.in_flight.iter().map(|a| a.id).collect();
             refused += out.len();
             out.iter().for_each(|id| drop(b.returns(*id, Outcome::Full(None))));
         }
@@ -117,7 +117,7 @@
 /// latency there, and between the last look and the last byte a slow process needs its time.
 #[test]
 fn a_repeat_keeps_a_part_of_the_window_where_no_latency_is_known() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
     let due = Micros(b.now + 28 * S);
     let message = Message {
         id: MessageId(1),
@@ -142,14 +142,14 @@
     let mut settings = settings();
     settings.kinds[0].bundle_max = 20;
     (settings.rules.cold_share, settings.rules.overload_factor) = (None, None);
-    let mut b = Bench::new(settings, vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(settings, vec![entry(1, 7)]);
     b.demand(1, 7, 0);
     b.returns(1, Outcome::ConnectFailed);
-    let mut sent = tries(&b.wait(10 * S));
+    let mut sent = attempted_ids(&b.wait(10 * S));
     assert!(!sent.is_empty(), "its trial");
     b.returns(sent.remove(0), Outcome::Ok);
     let events = (2..=9).map(|id| b.message(id, 7, 0, None)).collect();
-    let mut went = tries(&b.feed(events));
-    went.extend(tries(&b.wait(2 * S)));
+    let mut went = attempted_ids(&b.feed(events));
+    went.extend(attempted_ids(&b.wait(2 * S)));
     assert!(!went.is_empty(), "they go");
 }
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -4,7 +4,7 @@
 use common::*;
 use indigohold::*;
 
-fn resumed(b: &Bench, id: u64, class: u16, tries: u32, risk: Option<(u64, u8)>, due: u64) -> Event {
+fn resumed(b: &SenderHarness, id: u64, class: u16, tries: u32, risk: Option<(u64, u8)>, due: u64) -> Event {
     let Event::Demand(message) = b.message(id, 7, class, None) else { unreachable!() };
     let risk = risk.map(|(at, n)| (Micros(at), endpoint(n)));
     Event::Resumed { message: Message { due: Micros(due), ..message }, tries, risk }
@@ -13,42 +13,42 @@
 /// Guards against a repeat outside of the key's window because the window began anew with the process.
 #[test]
 fn a_keyed_message_keeps_its_window_over_lives() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
     b.now = 100 * S;
     let due = b.now + 20 * S;
     let inside = resumed(&b, 1, 1, 1, Some((b.now - 5 * S, 1)), due);
     let outside = resumed(&b, 2, 1, 1, Some((b.now - 13 * S, 1)), due);
     let done = b.feed(vec![inside, outside]);
-    assert_eq!(tries(&done), [1]);
+    assert_eq!(attempted_ids(&done), [1]);
     assert!(done.contains(&Action::Fail(MessageId(2))), "it may have run, and its window is over");
 }
 
 #[test]
 fn attempts_count_over_lives() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
     let last = resumed(&b, 1, 0, 7, None, b.now + 20 * S);
-    assert_eq!(tries(&b.feed(vec![last])), [1]);
-    b.out[0].number = 7;
-    assert_eq!(answers(&b.returns(1, Outcome::Full(None))), [1], "that was the eighth");
+    assert_eq!(attempted_ids(&b.feed(vec![last])), [1]);
+    b.in_flight[0].number = 7;
+    assert_eq!(answered_ids(&b.returns(1, Outcome::Full(None))), [1], "that was the eighth");
 }
 
 #[test]
 fn what_is_overdue_is_answered_at_once_and_not_sent() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
     b.now = 100 * S;
     let due = b.now - S;
     let (fresh, ran) = (resumed(&b, 1, 1, 0, None, due), resumed(&b, 2, 2, 1, Some((b.now - 2 * S, 1)), due));
     let done = b.feed(vec![fresh, ran]);
-    assert_eq!(answers(&done), [1, 2]);
-    assert!(tries(&done).is_empty());
+    assert_eq!(answered_ids(&done), [1, 2]);
+    assert!(attempted_ids(&done).is_empty());
     assert!(done.contains(&Action::Fail(MessageId(2))));
 }
 
 /// Guards against a first byte to a backend that began to drain, or told a wait, while its connection came up.
 #[test]
 fn a_call_may_not_begin_against_a_drain_or_a_wait() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7), entry(2, 8)]);
-    let ask = |b: &Bench, n| b.sender.may_begin(Micros(b.now), MessageId(99), endpoint(n));
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 8)]);
+    let ask = |b: &SenderHarness, n| b.sender.may_begin(Micros(b.now), MessageId(99), endpoint(n));
     assert!(ask(&b, 1) && ask(&b, 2) && !ask(&b, 3));
     b.feed(vec![Event::ListChange(vec![Entry { state: Listed::Draining, ..entry(1, 7) }])]);
     assert!(!ask(&b, 1) && ask(&b, 2));
@@ -63,7 +63,7 @@
 /// repeated, so giving up early only loses its answer.
 #[test]
 fn what_cannot_be_repeated_is_waited_for() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
     for id in 1..20 {
         b.demand(id, 7, 2);
         b.now += 50_000;
@@ -86,11 +86,13 @@
 /// a second one that gets the work while the first is well.
 #[test]
 fn a_higher_rank_stands_in_while_the_lower_is_out() {
-    let mut b =
-        Bench::new(settings(), vec![Entry { rank: 10, ..entry(1, 7) }, Entry { rank: 20, ..entry(2, 7) }]);
+    let mut b = SenderHarness::new(
+        settings(),
+        vec![Entry { rank: 10, ..entry(1, 7) }, Entry { rank: 20, ..entry(2, 7) }],
+    );
     for id in 1..=5 {
         b.demand(id, 7, 0);
-        assert_eq!(b.out[0].endpoint, endpoint(1));
+        assert_eq!(b.in_flight[0].endpoint, endpoint(1));
         b.now += 100_000;
         b.returns(id, Outcome::Ok);
         b.wait(S);
@@ -98,10 +100,10 @@
     b.demand(6, 7, 0);
     b.returns(6, Outcome::ConnectFailed);
     b.demand(7, 7, 0);
-    assert!(b.out.iter().any(|a| a.id == 7 && a.endpoint == endpoint(2)), "the first one is out");
+    assert!(b.in_flight.iter().any(|a| a.id == 7 && a.endpoint == endpoint(2)), "the first one is out");
     // Repeats go to the stand-in also when the first one is due for a trial; a first try makes the trial.
     b.wait(4 * S);
-    assert!(b.out.iter().any(|a| a.id == 6 && a.endpoint == endpoint(2)));
+    assert!(b.in_flight.iter().any(|a| a.id == 6 && a.endpoint == endpoint(2)));
     b.demand(8, 7, 0);
-    assert!(b.out.iter().any(|a| a.id == 8 && a.endpoint == endpoint(1)), "the trial");
+    assert!(b.in_flight.iter().any(|a| a.id == 8 && a.endpoint == endpoint(1)), "the trial");
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -18,23 +18,23 @@
 }
 
 /// Takes the only endpoint of a destination out: two messages fail to connect.
-fn down(b: &mut Bench, destination: u16) {
+fn down(b: &mut SenderHarness, destination: u16) {
     b.demand(901, destination, 0);
     b.wait(500_000);
     b.demand(902, destination, 0);
     b.wait(500_000);
-    while let Some(a) = b.out.first().copied() {
+    while let Some(a) = b.in_flight.first().copied() {
         b.returns(a.id, Outcome::ConnectFailed);
     }
 }
 
 /// Waits for a trial and lets it succeed; how long it took.
-fn comes_back(b: &mut Bench) -> u64 {
+fn comes_back(b: &mut SenderHarness) -> u64 {
     let from = b.now;
-    while b.out.is_empty() && b.now < from + 60 * S {
+    while b.in_flight.is_empty() && b.now < from + 60 * S {
         b.wait(100_000);
     }
-    let trial = b.out[0].id;
+    let trial = b.in_flight[0].id;
     b.returns(trial, Outcome::Ok);
     b.now - from
 }
@@ -42,7 +42,7 @@
 /// Danger: an even part of a small limit among 255 spaces trials by minutes, longer than a message lives.
 #[test]
 fn a_trial_comes_while_a_message_lives_however_many_senders() {
-    let mut b = Bench::new(one_of_many(), vec![Entry { weight: 5.0, ..entry(1, 7) }]);
+    let mut b = SenderHarness::new(one_of_many(), vec![Entry { weight: 5.0, ..entry(1, 7) }]);
     down(&mut b, 7);
     assert!(comes_back(&mut b) < 26 * S);
 }
@@ -55,14 +55,14 @@
 fn probed_in(mut set: Settings, left: f32, limit: f32) -> bool {
     (set.report_left, set.report_limit) = (Some(0), Some(1));
     set.limits.probes = true;
-    let mut b = Bench::new(set, vec![Entry { weight: 50.0, ..entry(1, 7) }]);
+    let mut b = SenderHarness::new(set, vec![Entry { weight: 50.0, ..entry(1, 7) }]);
     let mut probed = false;
     for id in 0..60 {
         let mut done = b.demand(id, 7, 0);
         done.extend(b.wait(S));
         probed |= done.iter().any(|a| matches!(a, Action::Probe(_)));
-        while let Some(a) = b.out.first().copied() {
-            b.returns_with(a.id, Outcome::Full(None), vec![left, limit]);
+        while let Some(a) = b.in_flight.first().copied() {
+            b.returns_with_report(a.id, Outcome::Full(None), vec![left, limit]);
         }
     }
     probed
@@ -101,11 +101,11 @@
 fn senders_told_when_a_destination_opens_do_not_all_come_at_once() {
     let mut first_two_seconds = 0;
     for seed in 0..40 {
-        let mut b = Bench::seeded(one_of_many(), vec![Entry { weight: 50.0, ..entry(1, 7) }], seed);
+        let mut b = SenderHarness::seeded(one_of_many(), vec![Entry { weight: 50.0, ..entry(1, 7) }], seed);
         b.demand(1, 7, 0);
         b.returns(1, Outcome::Full(Some(Micros(8 * S))));
-        assert!(tries(&b.wait(8 * S - 1)).is_empty());
-        first_two_seconds += tries(&b.wait(2 * S)).len();
+        assert!(attempted_ids(&b.wait(8 * S - 1)).is_empty());
+        first_two_seconds += attempted_ids(&b.wait(2 * S)).len();
     }
     assert!(first_two_seconds < 10, "{first_two_seconds} of 40 came at once");
 }
@@ -115,13 +115,13 @@
 fn an_endpoint_that_joins_a_destination_seen_out_is_cold() {
     let list = |n| vec![Entry { weight: 5.0, ..entry(n, 7) }];
     let sent = |seen_out: bool| {
-        let mut b = Bench::new(one_of_many(), list(1));
+        let mut b = SenderHarness::new(one_of_many(), list(1));
         if seen_out {
             down(&mut b, 7);
         }
         b.feed(vec![Event::WholeList(list(2))]);
         b.demand(1, 7, 0);
-        b.out.iter().filter(|a| a.endpoint == endpoint(2)).count()
+        b.in_flight.iter().filter(|a| a.endpoint == endpoint(2)).count()
     };
     assert_eq!((sent(false), sent(true)), (1, 0));
 }
@@ -129,11 +129,11 @@
 /// Danger (a broken rule): senders that had seen one endpoint fail pushed the destination over by the other.
 #[test]
 fn one_endpoint_out_speaks_for_those_not_heard_lately() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7), entry(2, 7)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 7)]);
     b.now += 30 * S;
     b.demand(1, 7, 0);
     b.returns(1, Outcome::ConnectFailed);
-    assert!(tries(&b.demand(2, 7, 0)).is_empty());
+    assert!(attempted_ids(&b.demand(2, 7, 0)).is_empty());
 }
 
 /// Danger: where refused calls use the limit up, a destination sent too much takes nothing for good.
@@ -145,7 +145,7 @@
     // has to begin with here.
     let (senders, mut last) = (20, 0);
     for seed in 0..senders {
-        let mut b = Bench::seeded(set.clone(), vec![Entry { weight: 8.0, ..entry(1, 7) }], seed);
+        let mut b = SenderHarness::seeded(set.clone(), vec![Entry { weight: 8.0, ..entry(1, 7) }], seed);
         let mut sent = vec![];
         let mut id = 0;
         for _ in 0..600 {
@@ -154,9 +154,9 @@
                 id += 1;
             }
             b.wait(100_000);
-            while let Some(a) = b.out.first().copied() {
+            while let Some(a) = b.in_flight.first().copied() {
                 sent.push(a.sent);
-                b.returns_with(a.id, Outcome::Full(None), vec![0.0]);
+                b.returns_with_report(a.id, Outcome::Full(None), vec![0.0]);
             }
         }
         // A tenth of the 150 handed in keeps asking, and a few before the pace has sunk.
@@ -169,7 +169,7 @@
 /// Danger: idle connections of hundreds of senders fill an endpoint's table and are dropped unseen.
 #[test]
 fn a_connection_not_needed_soon_is_let_go_and_a_busy_one_is_kept() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7), entry(2, 8)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 8)]);
     b.demand(1, 7, 0);
     b.now += 100_000;
     assert!(lets_go(&b.returns(1, Outcome::Ok)));
@@ -185,7 +185,7 @@
 /// Danger: connections dropped unseen after a pause; the call that meets one may have run.
 #[test]
 fn calls_that_break_after_a_pause_shorten_the_trust_in_idle_connections() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7), entry(2, 8)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 8)]);
     for id in 0..8 {
         b.demand(id, 7, 0);
         b.now += 100_000;
@@ -211,24 +211,24 @@
     let mut set = one_of_many();
     set.limits.notes = true;
     let list = || vec![Entry { weight: 5.0, ..entry(1, 7) }];
-    let mut first = Bench::new(set.clone(), list());
+    let mut first = SenderHarness::new(set.clone(), list());
     down(&mut first, 7);
     comes_back(&mut first);
-    let note = first.last.iter().find_map(|a| match a {
+    let note = first.last_actions.iter().find_map(|a| match a {
         Action::Note { to: None, bytes } => Some(bytes.clone()),
         _ => None,
     });
     let note = note.expect("a note to all");
     assert!(note.len() <= 256);
     let time_to_send = |bytes: Option<Vec<u8>>| {
-        let mut b = Bench::new(set.clone(), list());
+        let mut b = SenderHarness::new(set.clone(), list());
         down(&mut b, 7);
         (0..40).for_each(|id| drop(b.demand(id, 7, 0)));
         if let Some(bytes) = bytes {
             b.feed(vec![Event::PeerNote { from: PeerId(3), bytes }]);
         }
         b.wait(10 * S);
-        b.out.len()
+        b.in_flight.len()
     };
     assert_eq!(time_to_send(None), 0, "no trial yet without a note");
     assert!(time_to_send(Some(note)) > 0, "the ramp lets some go");
@@ -239,15 +239,15 @@
 
 #[test]
 fn no_note_is_sent_where_none_may_be() {
-    let mut b = Bench::new(one_of_many(), vec![Entry { weight: 5.0, ..entry(1, 7) }]);
+    let mut b = SenderHarness::new(one_of_many(), vec![Entry { weight: 5.0, ..entry(1, 7) }]);
     down(&mut b, 7);
     comes_back(&mut b);
-    assert!(!b.last.iter().any(|a| matches!(a, Action::Note { .. })));
+    assert!(!b.last_actions.iter().any(|a| matches!(a, Action::Note { .. })));
 }
 
 #[test]
 fn odd_messages_are_answered_and_an_id_twice_counts_once() {
-    let mut b = Bench::new(settings(), vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
     let unknown = Event::Demand(Message {
         id: MessageId(9),
         destination: DestinationId(7),
@@ -256,19 +256,19 @@
         key: Some(Key(1)),
         due: Micros(b.now + 5 * S),
     });
-    assert_eq!(answers(&b.feed(vec![unknown])), [9]);
+    assert_eq!(answered_ids(&b.feed(vec![unknown])), [9]);
     b.demand(1, 7, 0);
     let again = b.demand(1, 7, 0);
-    assert!(tries(&again).is_empty() && answers(&again).is_empty());
+    assert!(attempted_ids(&again).is_empty() && answered_ids(&again).is_empty());
     b.returns(1, Outcome::Ok);
     let later = b.wait(40 * S);
-    assert!(tries(&later).is_empty() && answers(&later).is_empty());
+    assert!(attempted_ids(&later).is_empty() && answered_ids(&later).is_empty());
 }
 
 /// On-call staff can read from the log that a destination is out.
 #[test]
 fn going_out_is_logged_once() {
-    let mut b = Bench::new(one_of_many(), vec![Entry { weight: 5.0, ..entry(1, 7) }]);
+    let mut b = SenderHarness::new(one_of_many(), vec![Entry { weight: 5.0, ..entry(1, 7) }]);
     b.demand(1, 7, 0);
     let log = |actions: &[Action]| {
         let line = |a: &Action| match a {
@@ -289,9 +289,9 @@
         for seed in 0..60 {
             let mut set = one_of_many();
             set.kinds[0].routes_apart = apart;
-            let mut b = Bench::seeded(set, vec![entry(1, 7), entry(2, 7), entry(3, 7)], seed);
+            let mut b = SenderHarness::seeded(set, vec![entry(1, 7), entry(2, 7), entry(3, 7)], seed);
             b.demand(1, 7, 0);
-            at_first += usize::from(b.out[0].endpoint == endpoint(1));
+            at_first += usize::from(b.in_flight[0].endpoint == endpoint(1));
         }
         assert!(at_first < 30, "{at_first} of 60 took the first of three");
     }
@@ -303,14 +303,14 @@
     let first_trial = |endpoints: u8, seed: u64| {
         let mut set = one_of_many();
         set.weights = Weights::Off;
-        let mut b = Bench::seeded(set, (1..=endpoints).map(|n| entry(n, 7)).collect(), seed);
+        let mut b = SenderHarness::seeded(set, (1..=endpoints).map(|n| entry(n, 7)).collect(), seed);
         b.now += 60 * S;
         down(&mut b, 7);
         let from = b.now;
-        while b.out.is_empty() && b.now < from + 28 * S {
+        while b.in_flight.is_empty() && b.now < from + 28 * S {
             b.wait(100_000);
         }
-        assert_eq!(b.out.len(), 1, "one trial at a time");
+        assert_eq!(b.in_flight.len(), 1, "one trial at a time");
         b.now - from
     };
     let mean = |n| (0..20).map(|seed| first_trial(n, seed)).sum::<u64>() / 20;
@@ -321,18 +321,18 @@
 #[test]
 fn a_return_found_late_ramps_from_half_way() {
     let sent_in_two_seconds = |trial_after: u64| {
-        let mut b = Bench::new(one_of_many(), vec![Entry { weight: 500.0, ..entry(1, 7) }]);
+        let mut b = SenderHarness::new(one_of_many(), vec![Entry { weight: 500.0, ..entry(1, 7) }]);
         down(&mut b, 7);
         b.feed(vec![Event::Hangup(MessageId(901)), Event::Hangup(MessageId(902))]);
         b.wait(trial_after);
         (10..60).for_each(|id| drop(b.demand(id, 7, 0)));
         b.wait(2 * S);
-        let trial = b.out[0].id;
+        let trial = b.in_flight[0].id;
         b.returns(trial, Outcome::Ok);
         let mut sent = 0;
         for _ in 0..20 {
-            sent += tries(&b.wait(100_000)).len();
-            while let Some(a) = b.out.first().copied() {
+            sent += attempted_ids(&b.wait(100_000)).len();
+            while let Some(a) = b.in_flight.first().copied() {
                 b.returns(a.id, Outcome::Ok);
             }
         }
@@ -349,8 +349,8 @@
     set.weights = Weights::Off;
     set.kinds.push(set.kinds[0]);
     let other = Entry { kind: KindId(1), ..entry(60, 60) };
-    let mut b = Bench::new(set, (1..40u8).map(|n| entry(n, u16::from(n))).chain([other]).collect());
-    let lets_go_at = |b: &mut Bench, destination: u16, from: u64| {
+    let mut b = SenderHarness::new(set, (1..40u8).map(|n| entry(n, u16::from(n))).chain([other]).collect());
+    let lets_go_at = |b: &mut SenderHarness, destination: u16, from: u64| {
         let mut gone = 0;
         for id in from..from + 10 {
             b.wait(S);
@@ -375,13 +375,13 @@
 fn a_pace_sunk_by_refusals_still_asks_again_and_comes_back() {
     let mut set = one_of_many();
     set.weights = Weights::Off;
-    let mut b = Bench::new(set, vec![entry(1, 7)]);
+    let mut b = SenderHarness::new(set, vec![entry(1, 7)]);
     let mut taken = [0, 0];
     for id in 0..240 {
         b.demand(id, 7, 0);
         b.wait(250_000);
         let whole = b.now > 40 * S;
-        while let Some(a) = b.out.first().copied() {
+        while let Some(a) = b.in_flight.first().copied() {
             b.returns(a.id, if whole { Outcome::Ok } else { Outcome::Full(None) });
             taken[usize::from(b.now > 50 * S)] += u32::from(whole);
         }
@@ -395,13 +395,13 @@
 fn refusals_with_some_of_the_limit_left_are_an_outage_after_long_silence() {
     let mut set = one_of_many();
     (set.report_left, set.report_limit) = (Some(0), Some(1));
-    let mut b = Bench::new(set, vec![Entry { weight: 50.0, ..entry(1, 7) }]);
+    let mut b = SenderHarness::new(set, vec![Entry { weight: 50.0, ..entry(1, 7) }]);
     let mut done = vec![];
     for id in 0..30 {
         done.extend(b.demand(id, 7, 0));
         done.extend(b.wait(S));
-        while let Some(a) = b.out.first().copied() {
-            done.extend(b.returns_with(a.id, Outcome::Full(None), vec![0.35, 50.0]));
+        while let Some(a) = b.in_flight.first().copied() {
+            done.extend(b.returns_with_report(a.id, Outcome::Full(None), vec![0.35, 50.0]));
         }
     }
     assert!(done.iter().any(|a| matches!(a, Action::Log(text) if text.contains("is out"))));
@@ -413,21 +413,21 @@
 fn a_thousand_held_are_answered_in_time_and_others_pass_them() {
     let mut set = settings();
     set.limits.max_open = None;
-    let mut b = Bench::new(set, vec![entry(1, 7), entry(2, 8)]);
+    let mut b = SenderHarness::new(set, vec![entry(1, 7), entry(2, 8)]);
     b.demand(0, 7, 0);
     b.returns(0, Outcome::Full(Some(Micros(60 * S))));
     for id in 1..1_000 {
-        assert!(tries(&b.demand(id, 7, 0)).is_empty());
+        assert!(attempted_ids(&b.demand(id, 7, 0)).is_empty());
     }
     for id in 5_000..5_100 {
-        assert_eq!(tries(&b.demand(id, 8, 0)), [id]);
-        assert!(answers(&b.returns(id, Outcome::Ok)).is_empty());
+        assert_eq!(attempted_ids(&b.demand(id, 8, 0)), [id]);
+        assert!(answered_ids(&b.returns(id, Outcome::Ok)).is_empty());
     }
     b.demand(6_000, 8, 0);
-    assert!(answers(&b.returns(6_000, Outcome::Error)).is_empty());
-    assert!(tries(&b.wait(20 * S)).contains(&6_000), "its repeat comes");
+    assert!(answered_ids(&b.returns(6_000, Outcome::Error)).is_empty());
+    assert!(attempted_ids(&b.wait(20 * S)).contains(&6_000), "its repeat comes");
     b.returns(6_000, Outcome::Ok);
-    let mut answered = answers(&b.wait(8 * S + 20_000));
+    let mut answered = answered_ids(&b.wait(8 * S + 20_000));
     answered.sort_unstable();
     assert_eq!((answered.len(), answered.last()), (1_000, Some(&999)));
     assert!(answered.windows(2).all(|w| w[0] < w[1]), "one answered twice");
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -80,8 +80,9 @@
     let set = set_of(case.senders, case.told);
     let weight = if case.told { case.capacity() } else { 0.0 };
     let line = Entry { weight, ..entry(1, 7) };
-    let seeded = |seed: u64| Bench::seeded(set.clone(), vec![line.clone()], seed);
-    let mut fleet: Vec<Bench> = (0..case.senders).map(|n| seeded(case.seed * 1_000 + u64::from(n))).collect();
+    let seeded = |seed: u64| SenderHarness::seeded(set.clone(), vec![line.clone()], seed);
+    let mut fleet: Vec<SenderHarness> =
+        (0..case.senders).map(|n| seeded(case.seed * 1_000 + u64::from(n))).collect();
     let start = fleet[0].now;
     let (down, back) = (start + CALM, start + CALM + case.outage);
     let end = back + (COLD_S * 1e6) as u64;
@@ -95,7 +96,8 @@
         if case.killed && now == back {
             out.clear();
             for (n, b) in fleet.iter_mut().enumerate() {
-                let mut life = Bench::unlisted(set.clone(), case.seed * 1_000 + 500_000 + n as u64);
+                let mut life =
+                    SenderHarness::without_list(set.clone(), case.seed * 1_000 + 500_000 + n as u64);
                 life.now = now;
                 // As the core does with what the former life wrote down.
                 let per_s = case.capacity() * 0.8 / f64::from(case.senders);
@@ -108,16 +110,16 @@
                     Event::Resumed { message, tries: h.tries, risk: None }
                 });
                 life.feed(resumed.collect());
-                life.tries =
+                life.attempt_counts =
                     held.iter().filter(|(_, h)| h.owner == n).map(|(id, h)| (*id, h.tries as u8)).collect();
                 let listed = life.feed(vec![Event::WholeList(vec![line.clone()])]);
-                sent.extend(tries(&listed).into_iter().map(|id| (n, id)));
+                sent.extend(attempted_ids(&listed).into_iter().map(|id| (n, id)));
                 *b = life;
             }
         }
         for (n, b) in fleet.iter_mut().enumerate() {
             let till = now.saturating_sub(b.now);
-            sent.extend(tries(&b.wait(till)).into_iter().map(|id| (n, id)));
+            sent.extend(attempted_ids(&b.wait(till)).into_iter().map(|id| (n, id)));
         }
         while next <= now {
             let n = (draw.next() * f64::from(case.senders)) as usize;
@@ -125,7 +127,9 @@
             let Event::Demand(message) = fleet[n].message(id, 7, 0, None) else { unreachable!() };
             let message = Message { due: Micros(now + 20 * S), ..message };
             held.insert(id, Held { owner: n, message: message.clone(), tries: 0 });
-            sent.extend(tries(&fleet[n].feed(vec![Event::Demand(message)])).into_iter().map(|id| (n, id)));
+            sent.extend(
+                attempted_ids(&fleet[n].feed(vec![Event::Demand(message)])).into_iter().map(|id| (n, id)),
+            );
             next += (-(1.0 - draw.next()).ln() / (case.capacity() * 0.8) * S as f64) as u64;
         }
         out.sort_by_key(|o| o.0);
@@ -134,8 +138,8 @@
             if outcome == Outcome::Ok {
                 held.remove(&id);
             }
-            let all = fleet[n].returns_with(id, outcome, vec![]);
-            sent.extend(tries(&all).into_iter().map(|id| (n, id)));
+            let all = fleet[n].returns_with_report(id, outcome, vec![]);
+            sent.extend(attempted_ids(&all).into_iter().map(|id| (n, id)));
         }
         for (n, id) in sent {
             if let Some(h) = held.get_mut(&id) {
--- a/tests/support/sharing.rs
+++ b/tests/support/sharing.rs
@@ -1,7 +1,7 @@
 //! A fleet of the real module in virtual time, with or without what it shares, over a lossy network of notes, at a destination that
 //! counts what it is sent.
 
-use super::common::{answers, class, settings, tries, Bench, S};
+use super::common::{answered_ids, attempted_ids, class, settings, SenderHarness, S};
 use super::notes::Net;
 use indigohold::peers::rider::Rider;
 use indigohold::shared::lease::Start;
@@ -69,7 +69,7 @@
     pub net: Net,
     pub riders: Vec<Sharing>,
     pub desks: Vec<Arc<Desk>>,
-    pub benches: Vec<Bench>,
+    pub benches: Vec<SenderHarness>,
     pub stand: Stand,
     pub ends: Ends,
     /// Calls of a sender that never reach anybody.
@@ -116,7 +116,7 @@
             desks: (0..n).map(|_| Arc::default()).collect(),
             riders: vec![],
             benches: (0..n)
-                .map(|i| Bench::seeded(set.clone(), vec![line.clone()], seed ^ i as u64))
+                .map(|i| SenderHarness::seeded(set.clone(), vec![line.clone()], seed ^ i as u64))
                 .collect(),
             stand: Stand {
                 limit,
@@ -206,16 +206,16 @@
             while self.out.first().is_some_and(|o| o.0 <= now) {
                 let (at, i, id, outcome, told) = self.out.remove(0);
                 self.ends.in_aim += u64::from(outcome == Outcome::Ok && at <= self.asked[id as usize].1);
-                done.push((i, self.benches[i].returns_with(id, outcome, told.to_vec())));
+                done.push((i, self.benches[i].returns_with_report(id, outcome, told.to_vec())));
             }
             let second = self.second();
             for (i, actions) in done {
-                for id in answers(&actions) {
+                for id in answered_ids(&actions) {
                     self.ends.back += 1;
                     self.by_sender[i].1 += 1;
                     self.ends.of_first.1 += u64::from(self.asked[id as usize].0 == 0);
                 }
-                for id in tries(&actions) {
+                for id in attempted_ids(&actions) {
                     let (outcome, told) = match self.bad_link {
                         Some(bad) if bad == i => (Outcome::ConnectFailed, self.stand.told.1),
                         _ => (self.stand.call(now, second), self.stand.told.1),
