--- a/lab/src/policies/mod.rs
+++ b/lab/src/policies/mod.rs
@@ -3,7 +3,7 @@
 
 mod plain;
 
-use indigohold::{Decide, Micros, Sender, Settings};
+use indigohold::{DecisionEngine, Micros, Sender, Settings};
 use plain::Plain;
 use std::fmt;
 use std::str::FromStr;
@@ -66,7 +66,7 @@
 
 impl Policy {
     /// One of them that decides.
-    pub fn build(&self, settings: &Settings, seed: u64) -> Box<dyn Decide> {
+    pub fn build(&self, settings: &Settings, seed: u64) -> Box<dyn DecisionEngine> {
         match self {
             Policy::Indigohold => Box::new(Sender::new(settings.clone(), seed)),
             Policy::Lab(tactic) => Box::new(Plain::new(settings.clone(), *tactic, seed)),
--- a/lab/src/policies/plain.rs
+++ b/lab/src/policies/plain.rs
@@ -286,7 +286,7 @@
     }
 }
 
-impl Decide for Plain {
+impl DecisionEngine for Plain {
     fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         for event in events {
             match event {
@@ -352,7 +352,7 @@
         *listed == Listed::Ready && !waits
     }
 
-    fn told_wait(&self, destination: DestinationId) -> Micros {
+    fn required_wait_until(&self, destination: DestinationId) -> Micros {
         self.lines.get(&destination).map_or(Micros(0), |l| l.wait_until)
     }
 }
--- a/lab/src/virtual_time/life.rs
+++ b/lab/src/virtual_time/life.rs
@@ -7,7 +7,7 @@
 use indigohold::store::home::Memory;
 use indigohold::store::Journal;
 use indigohold::{
-    Class, Decide, DiscoveryMode, Fade, Kind, Limits, Micros, Rules, Settings, Tenant, Weights,
+    Class, DecisionEngine, DiscoveryMode, Fade, Kind, Limits, Micros, Rules, Settings, Tenant, Weights,
 };
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -75,8 +75,8 @@
 impl Life {
     /// A process that begins, with whatever its folder holds.
     pub fn new(
-        sender: Box<dyn Decide>, settings: &Settings, disk: Memory, bytes: u64, seed: u64, now: Micros,
-        number: u32,
+        sender: Box<dyn DecisionEngine>, settings: &Settings, disk: Memory, bytes: u64, seed: u64,
+        now: Micros, number: u32,
     ) -> Life {
         let journal = Journal::at(Box::new(disk), bytes, now).expect("memory can always be written");
         let (core, orders) = Core::with(sender, settings, seed, now, journal, Options::default());
--- a/src/api/decide.rs
+++ b/src/api/decision_engine.rs
@@ -8,7 +8,7 @@
 
 /// The state of a module, in a form that only a module of the same version understands.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Carried(pub(crate) serde_json::Value);
+pub struct EngineState(pub(crate) serde_json::Value);
 
 /// How a life found an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -25,17 +25,17 @@
 }
 
 /// What decides: [`crate::Sender`], or whatever an emulator compares with it. No I/O, no clock, no threads.
-pub trait Decide: Send {
+pub trait DecisionEngine: Send {
     /// Takes in what happened at `now` and appends what to do about it.
     fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>);
     /// Whether a call of this message may begin at this endpoint, just before its first byte.
     fn may_begin(&self, now: Micros, message: MessageId, id: EndpointId) -> bool;
     /// Until when a destination has told to wait; 0: it has not.
-    fn told_wait(&self, destination: DestinationId) -> Micros;
+    fn required_wait_until(&self, destination: DestinationId) -> Micros;
     /// A former life was told to wait until then; before anything else has happened.
-    fn told_before(&mut self, _destination: DestinationId, _until: Micros) {}
+    fn restore_wait(&mut self, _destination: DestinationId, _until: Micros) {}
     /// The pace of the first calls to a destination whose limit nobody tells; before anything else has happened.
-    fn first_pace(&mut self, _destination: DestinationId, _per_s: f64) {}
+    fn restore_send_rate(&mut self, _destination: DestinationId, _per_s: f64) {}
     /// What was handed in lately by destination, in messages a second.
     fn demand(&self, _now: Micros) -> Vec<(DestinationId, f64)> {
         Vec::new()
@@ -50,21 +50,21 @@
     }
     /// A former life found this endpoint so, and so much was handed in for its destination, in messages a second; before anything
     /// else has happened.
-    fn was_out(&mut self, _id: EndpointId, _outage: Outage, _per_s: f64) {}
+    fn restore_outage(&mut self, _id: EndpointId, _outage: Outage, _per_s: f64) {}
     /// Whether the module keeps away from this endpoint now, as it found it to be out. For overviews.
-    fn avoids(&self, _id: EndpointId) -> bool {
+    fn is_ejected(&self, _id: EndpointId) -> bool {
         false
     }
     /// What this courier knows of itself, for others; endpoints are named by their addresses.
     fn facts(&self, _now: Micros) -> Facts {
         Facts::default()
     }
-    /// What couriers believe together, from now on; it holds until its own ends.
-    fn believe(&mut self, _now: Micros, _beliefs: Arc<Beliefs>) {}
+    /// What couriers apply_beliefs together, from now on; it holds until its own ends.
+    fn apply_beliefs(&mut self, _now: Micros, _beliefs: Arc<Beliefs>) {}
     /// What another process of the same courier goes on with, beside the messages and the list.
-    fn carry(&self) -> Carried {
-        Carried::default()
+    fn export_state(&self) -> EngineState {
+        EngineState::default()
     }
     /// Goes on with it; before anything else has happened.
-    fn go_on_with(&mut self, _carried: Carried) {}
+    fn import_state(&mut self, _carried: EngineState) {}
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,11 +1,11 @@
 //! The interface: what a sender is told and what it may do. Types only; every decision is in `src/policy/`.
 
-mod decide;
+mod decision_engine;
 mod events;
 mod ids;
 mod settings;
 
-pub use decide::*;
+pub use decision_engine::*;
 pub use events::*;
 pub use ids::*;
 pub use settings::*;
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -210,8 +210,9 @@
         let mut waits: BTreeMap<u16, Micros> = BTreeMap::new();
         for (msg, held) in self.messages.iter().filter(|(_, m)| drain.scope.covers(&marks(&m.req))) {
             let req = &held.req;
-            let told =
-                *waits.entry(req.dest).or_insert_with(|| self.policy.told_wait(DestinationId(req.dest)));
+            let told = *waits
+                .entry(req.dest)
+                .or_insert_with(|| self.policy.required_wait_until(DestinationId(req.dest)));
             for counts in
                 [&mut left, by_class.entry(req.class).or_default(), by_dest.entry(req.dest).or_default()]
             {
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -4,7 +4,7 @@
 
 use super::{Answer, End, Notice, PendingMessage, Report};
 use super::{Backend, Core, Courier, Fetch, FinishedFetch, Order};
-use crate::api::{Carried, EndpointId, Event, MessageId, Micros};
+use crate::api::{EndpointId, EngineState, Event, MessageId, Micros};
 use crate::register::kept::Edition;
 use crossbeam_channel::Sender;
 use serde::{Deserialize, Serialize};
@@ -18,7 +18,7 @@
     /// The module's names for backends, by front.
     names: Vec<(u8, String, EndpointId)>,
     next_name: u32,
-    module: Carried,
+    module: EngineState,
     /// What discovery has told.
     pub lists: Vec<(u8, Edition)>,
     /// Messages that their clients are just being told of.
@@ -70,7 +70,7 @@
         HandoverState {
             names,
             next_name: self.next_endpoint_number,
-            module: self.policy.carry(),
+            module: self.policy.export_state(),
             lists: self.register.editions(),
             answering: BTreeSet::new(),
         }
@@ -153,7 +153,7 @@
         for (front, name, at) in passed.names.drain(..) {
             self.endpoint_ids.insert((front, name), at);
         }
-        self.policy.go_on_with(std::mem::take(&mut passed.module));
+        self.policy.import_state(std::mem::take(&mut passed.module));
     }
 
     /// Takes up what the journal says is owed. Calls that it calls open are still out in the process that handed over.
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -16,7 +16,7 @@
         for (front, name, out) in self.register.members() {
             let endpoint = self.endpoint_ids.get(&(front, name.to_owned()));
             members += 1;
-            unavailable += u64::from(out || endpoint.is_some_and(|at| self.policy.avoids(*at)));
+            unavailable += u64::from(out || endpoint.is_some_and(|at| self.policy.is_ejected(*at)));
         }
         let ready =
             self.register.get(PLATFORM_FRONT).is_none_or(|book| book.ready(self.next_member_count_at));
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -99,7 +99,7 @@
 /// waits for nothing; whoever drives it says what time it is and carries out its orders. [`Courier`] shares one among
 /// threads; an emulator drives as many as it likes in a time of its own.
 pub struct Core {
-    policy: Box<dyn Decide>,
+    policy: Box<dyn DecisionEngine>,
     journal: Journal,
     order_sender: crossbeam_channel::Sender<Order>,
     messages: BTreeMap<u64, PendingMessage>,
@@ -162,7 +162,7 @@
 
     /// The same with another module.
     pub fn with(
-        sender: Box<dyn Decide>, settings: &Settings, seed: u64, now: Micros, journal: Journal,
+        sender: Box<dyn DecisionEngine>, settings: &Settings, seed: u64, now: Micros, journal: Journal,
         options: Options,
     ) -> (Core, Receiver<Order>) {
         let effects = settings.classes.iter().map(|c| c.effect).collect();
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -109,7 +109,7 @@
             // Danger: the module hears no wait in the outcome of a probe. Calls that it went on to order would be stopped
             // just before their first byte, one after the other, until their messages had no attempt left.
             self.heard_wait(now, PLATFORM_FRONT, probe.dest, wait);
-            self.policy.told_before(DestinationId(probe.dest), now + wait);
+            self.policy.restore_wait(DestinationId(probe.dest), now + wait);
             self.remember(now);
         }
         self.probe_over(now, event);
--- a/src/core/remember.rs
+++ b/src/core/remember.rs
@@ -61,14 +61,14 @@
         let demand = self.memory_file.began_with.iter().filter(|_| !taken_over);
         let mut paced = 0;
         for (dest, per_s) in demand {
-            self.policy.first_pace(DestinationId(*dest), first_pace(*per_s));
+            self.policy.restore_send_rate(DestinationId(*dest), first_pace(*per_s));
             paced += 1;
         }
         if paced > 0 {
             tracing::info!(target: "comeback", destinations = paced, "begins by the demand of an earlier life");
         }
         for ((_, dest), until) in &self.destination_waits {
-            self.policy.told_before(DestinationId(*dest), *until);
+            self.policy.restore_wait(DestinationId(*dest), *until);
         }
     }
 
@@ -81,7 +81,7 @@
             let demand = self.memory_file.began_with.iter().find(|(dest, _)| *dest == known.dest);
             let per_s = demand.map_or(0.0, |(_, per_s)| *per_s);
             let id = self.intern(known.front, &known.name);
-            self.policy.was_out(id, known.outage, per_s);
+            self.policy.restore_outage(id, known.outage, per_s);
         }
     }
 
--- a/src/core/sharing.rs
+++ b/src/core/sharing.rs
@@ -51,7 +51,7 @@
         };
         if !same {
             self.sharing_state.believed = beliefs.clone();
-            beliefs.into_iter().for_each(|beliefs| self.policy.believe(now, beliefs));
+            beliefs.into_iter().for_each(|beliefs| self.policy.apply_beliefs(now, beliefs));
         }
         if now < self.sharing_state.facts_at {
             return;
--- a/src/carry.rs
+++ b/src/sender_handover.rs
@@ -28,7 +28,7 @@
 >;
 
 impl Sender {
-    pub(crate) fn carry(&self) -> Carried {
+    pub(crate) fn export_state(&self) -> EngineState {
         let learnt = Learnt {
             destinations: self.destinations.iter().collect::<Vec<_>>(),
             routes: self.routes.iter().collect::<Vec<_>>(),
@@ -39,10 +39,10 @@
             keep: self.idle_timeouts.iter().map(|(k, v)| (*k, *v)).collect(),
         };
         // What can't be put into words is learnt anew.
-        Carried(serde_json::to_value(learnt).unwrap_or_default())
+        EngineState(serde_json::to_value(learnt).unwrap_or_default())
     }
 
-    pub(crate) fn go_on_with(&mut self, carried: Carried) {
+    pub(crate) fn import_state(&mut self, carried: EngineState) {
         let Ok(learnt) = serde_json::from_value::<Read>(carried.0) else { return };
         self.destinations = learnt.destinations.into_iter().collect();
         self.routes = learnt.routes.into_iter().collect();
@@ -63,13 +63,13 @@
     }
 
     /// A wait that a former life was told.
-    pub(crate) fn told_before(&mut self, destination: DestinationId, until: Micros) {
+    pub(crate) fn restore_wait(&mut self, destination: DestinationId, until: Micros) {
         let route = self.routes.entry((destination, None)).or_default();
         route.wait_until = route.wait_until.max(until);
     }
 
     /// A life that begins goes on from here. Where limits are told, by list or by report, they say it better.
-    pub(crate) fn first_pace(&mut self, destination: DestinationId, per_s: f64) {
+    pub(crate) fn restore_send_rate(&mut self, destination: DestinationId, per_s: f64) {
         if self.settings.report_limit.is_none() && self.settings.weights == Weights::Off {
             self.routes.entry((destination, None)).or_default().send_rate.calls_per_s.get_or_insert(per_s);
         }
@@ -83,7 +83,7 @@
     }
 }
 
-impl Decide for Sender {
+impl DecisionEngine for Sender {
     fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         Sender::handle(self, now, events, actions);
     }
@@ -92,16 +92,16 @@
         Sender::may_begin(self, now, message, id)
     }
 
-    fn told_wait(&self, destination: DestinationId) -> Micros {
+    fn required_wait_until(&self, destination: DestinationId) -> Micros {
         Sender::told_wait(self, destination)
     }
 
-    fn told_before(&mut self, destination: DestinationId, until: Micros) {
-        Sender::told_before(self, destination, until);
+    fn restore_wait(&mut self, destination: DestinationId, until: Micros) {
+        Sender::restore_wait(self, destination, until);
     }
 
-    fn first_pace(&mut self, destination: DestinationId, per_s: f64) {
-        Sender::first_pace(self, destination, per_s);
+    fn restore_send_rate(&mut self, destination: DestinationId, per_s: f64) {
+        Sender::restore_send_rate(self, destination, per_s);
     }
 
     fn demand(&self, now: Micros) -> Vec<(DestinationId, f64)> {
@@ -116,11 +116,11 @@
         self.outage_changes
     }
 
-    fn was_out(&mut self, id: EndpointId, outage: Outage, per_s: f64) {
+    fn restore_outage(&mut self, id: EndpointId, outage: Outage, per_s: f64) {
         Sender::was_out(self, id, outage, per_s);
     }
 
-    fn avoids(&self, id: EndpointId) -> bool {
+    fn is_ejected(&self, id: EndpointId) -> bool {
         self.endpoints.get(&id).is_some_and(|e| e.health.is_ejected())
     }
 
@@ -128,16 +128,16 @@
         Sender::facts(self, now)
     }
 
-    fn believe(&mut self, now: Micros, beliefs: Arc<Beliefs>) {
-        Sender::believe(self, now, beliefs);
+    fn apply_beliefs(&mut self, now: Micros, beliefs: Arc<Beliefs>) {
+        Sender::apply_beliefs(self, now, beliefs);
     }
 
-    fn carry(&self) -> Carried {
-        Sender::carry(self)
+    fn export_state(&self) -> EngineState {
+        Sender::export_state(self)
     }
 
-    fn go_on_with(&mut self, carried: Carried) {
-        Sender::go_on_with(self, carried);
+    fn import_state(&mut self, carried: EngineState) {
+        Sender::import_state(self, carried);
     }
 }
 
@@ -205,9 +205,10 @@
             }],
             &mut actions,
         );
-        let carried: Carried = serde_json::from_str(&serde_json::to_string(&old.carry()).unwrap()).unwrap();
+        let carried: EngineState =
+            serde_json::from_str(&serde_json::to_string(&old.export_state()).unwrap()).unwrap();
         let mut new = Sender::new(settings(), 2);
-        new.go_on_with(carried);
+        new.import_state(carried);
         assert_eq!(new.told_wait(DestinationId(3)), now + Micros(2_001_000));
         actions.clear();
         let events = [
@@ -247,8 +248,8 @@
     #[test]
     fn what_is_not_understood_is_learnt_anew() {
         let mut new = Sender::new(settings(), 2);
-        new.go_on_with(Carried(serde_json::json!({"destinations": 3})));
-        new.go_on_with(Carried::default());
+        new.import_state(EngineState(serde_json::json!({"destinations": 3})));
+        new.import_state(EngineState::default());
         assert!(new.routes.is_empty() && new.endpoints.is_empty());
     }
 }
--- a/src/believe.rs
+++ b/src/sender_sharing.rs
@@ -48,7 +48,7 @@
     }
 
     /// What couriers believe together, from now on.
-    pub fn believe(&mut self, now: Micros, beliefs: Arc<Beliefs>) {
+    pub fn apply_beliefs(&mut self, now: Micros, beliefs: Arc<Beliefs>) {
         let back: Vec<_> = beliefs.endpoints.keys().copied().filter(|id| beliefs.back(now, *id)).collect();
         back.into_iter().for_each(|id| self.peers_report_recovery(now, id));
         self.beliefs = Some(beliefs);
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -108,7 +108,7 @@
         }
         assert!(b.now < listed + 5 * S);
         soon += usize::from(refused >= 2);
-        assert!(!b.sender.avoids(endpoint(1)), "seed {seed}, {refused} refusals");
+        assert!(!b.sender.is_ejected(endpoint(1)), "seed {seed}, {refused} refusals");
     }
     assert!(soon > 0, "no two refusals came so soon");
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -101,9 +101,9 @@
                 life.now = now;
                 // As the core does with what the former life wrote down.
                 let per_s = case.capacity() * 0.8 / f64::from(case.senders);
-                let known = Decide::outages(&b.sender, Micros(now));
-                life.sender.first_pace(DestinationId(7), per_s);
-                known.into_iter().for_each(|(id, outage)| life.sender.was_out(id, outage, per_s));
+                let known = DecisionEngine::outages(&b.sender, Micros(now));
+                life.sender.restore_send_rate(DestinationId(7), per_s);
+                known.into_iter().for_each(|(id, outage)| life.sender.restore_outage(id, outage, per_s));
                 let own = held.values().filter(|h| h.owner == n);
                 let resumed = own.map(|h| {
                     let message = h.message.clone();
--- a/tests/support/sharing.rs
+++ b/tests/support/sharing.rs
@@ -170,7 +170,7 @@
             let peers = self.net.nodes[i].as_mut().expect("it is up");
             self.riders[i].tick(now, peers);
             if let Some(beliefs) = self.desks[i].beliefs() {
-                self.benches[i].sender.believe(now, beliefs);
+                self.benches[i].sender.apply_beliefs(now, beliefs);
             }
         }
     }
