--- a/lab/src/deployments/listing.rs
+++ b/lab/src/deployments/listing.rs
@@ -2,7 +2,7 @@
 
 use super::play::{Event, Play, LISTS_OF_TROUBLE};
 use super::seen::Line;
-use indigohold::core::{ListLine, ListState, Report, Source, Word};
+use indigohold::core::{EndpointRecord, EndpointState, ListUpdate, Report, Source};
 use indigohold::{DiscoveryMode, Micros};
 use rand::Rng;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,7 +20,7 @@
         self.watching = true;
         let mut lines = Vec::new();
         for dest in 0..self.world.endpoints.len() {
-            lines.extend((0..self.world.endpoints[dest]).map(|n| self.line(dest, n, ListState::Up)));
+            lines.extend((0..self.world.endpoints[dest]).map(|n| self.line(dest, n, EndpointState::Up)));
         }
         self.tell(true, lines);
     }
@@ -42,14 +42,15 @@
         }
         let dest = self.rng.random_range(0..self.world.endpoints.len());
         let n = self.rng.random_range(0..self.world.endpoints[dest]);
-        let state = [ListState::Up, ListState::Draining, ListState::Gone][self.rng.random_range(0..3)];
+        let state =
+            [EndpointState::Up, EndpointState::Draining, EndpointState::Gone][self.rng.random_range(0..3)];
         let line = self.line(dest, n, state);
         self.tell(false, vec![line]);
     }
 
-    fn line(&self, dest: usize, n: usize, state: ListState) -> ListLine {
+    fn line(&self, dest: usize, n: usize, state: EndpointState) -> EndpointRecord {
         let number = (dest * 100 + n) as u32;
-        ListLine {
+        EndpointRecord {
             name: format!("e{number}"),
             addr: SocketAddr::from((Ipv4Addr::from(0x0A00_0000 + number), 80)),
             dest: dest as u16,
@@ -61,16 +62,19 @@
         }
     }
 
-    fn tell(&mut self, whole: bool, lines: Vec<ListLine>) {
+    fn tell(&mut self, whole: bool, lines: Vec<EndpointRecord>) {
         let now = self.now;
         for line in &lines {
             let before = self.seen.lines.get(&line.name).and_then(|l| l.closed);
-            let closed = (line.state != ListState::Up).then(|| before.unwrap_or(now));
+            let closed = (line.state != EndpointState::Up).then(|| before.unwrap_or(now));
             let seen = Line { dest: line.dest, kind: line.kind, zone: line.zone, closed };
             self.seen.lines.insert(line.name.clone(), seen);
         }
         self.generation += 1;
-        let word = Word { whole, ..Word::whole(Source::Watch, self.generation, lines, now) };
+        let word = ListUpdate {
+            is_full_list: whole,
+            ..ListUpdate::full(Source::Discovery, self.generation, lines, now)
+        };
         self.core.report(now, Report::List { front: 0, update: word });
     }
 }
--- a/lab/src/virtual_time/mod.rs
+++ b/lab/src/virtual_time/mod.rs
@@ -9,7 +9,9 @@
 use crate::scenario::{Effect, Scenario};
 use crate::streams::Streams;
 use crate::world::{CallNo, Connect, EndpointNo, Happening, Listed, Reply, World};
-use indigohold::core::{Answer, End, Fetch, ListLine, ListState, Notice, Order, Report, Source, Word};
+use indigohold::core::{
+    Answer, End, EndpointRecord, EndpointState, Fetch, ListUpdate, Notice, Order, Report, Source,
+};
 use indigohold::store::{Req, Verdict};
 use indigohold::{Micros, Outcome, Settings};
 use life::{Life, Machine, Out, Stage};
@@ -237,9 +239,9 @@
                     let lines = vec![self.line(endpoint, state)];
                     self.tell(
                         n,
-                        Word {
-                            whole: false,
-                            ..Word::whole(Source::Watch, change as u64 + 2, lines, self.now)
+                        ListUpdate {
+                            is_full_list: false,
+                            ..ListUpdate::full(Source::Discovery, change as u64 + 2, lines, self.now)
                         },
                     );
                 }
@@ -393,7 +395,7 @@
         self.put(Fact::Up(n));
         if !self.scenario.courier.lists_what_it_uses {
             let lines = self.lines();
-            self.tell(n, Word::whole(Source::Known, 1, lines, now));
+            self.tell(n, ListUpdate::full(Source::Configured, 1, lines, now));
         }
         let Some(life) = self.life(n, number) else { return };
         life.core.tick(now);
@@ -464,13 +466,13 @@
 
     // ---- The list ----
 
-    fn line(&self, endpoint: EndpointNo, state: Listed) -> ListLine {
+    fn line(&self, endpoint: EndpointNo, state: Listed) -> EndpointRecord {
         let dest = self.world.dest_of(endpoint);
         let weight = self.world.endpoints_of(dest).next().map_or(1.0, |(_, _, w)| w);
         line_of(endpoint, dest, weight, state)
     }
 
-    fn lines(&self) -> Vec<ListLine> {
+    fn lines(&self) -> Vec<EndpointRecord> {
         let all = self.world.list().filter(|(n, ..)| self.states[*n as usize] != Listed::Gone);
         all.map(|(n, dest, weight)| line_of(n, dest, weight, self.states[n as usize])).collect()
     }
@@ -488,12 +490,18 @@
         let of = |(n, d, w): (EndpointNo, usize, f64)| {
             (d == dest).then(|| line_of(n, d, w, self.states[n as usize]))
         };
-        let lines: Vec<ListLine> =
-            self.world.endpoints_of(dest).filter_map(of).filter(|l| l.state != ListState::Gone).collect();
-        self.tell(n, Word { whole: false, ..Word::whole(Source::Watch, generation, lines, self.now) });
-    }
-
-    fn tell(&mut self, n: Instance, word: Word) {
+        let lines: Vec<EndpointRecord> =
+            self.world.endpoints_of(dest).filter_map(of).filter(|l| l.state != EndpointState::Gone).collect();
+        self.tell(
+            n,
+            ListUpdate {
+                is_full_list: false,
+                ..ListUpdate::full(Source::Discovery, generation, lines, self.now)
+            },
+        );
+    }
+
+    fn tell(&mut self, n: Instance, word: ListUpdate) {
         let now = self.now;
         if let Some(life) = self.machines[n as usize].life.as_mut() {
             life.core.report(now, Report::List { front: 0, update: word });
@@ -540,7 +548,7 @@
             }
         }
         let lines = self.lines();
-        self.tell(n, Word::whole(Source::Watch, generation, lines, self.now));
+        self.tell(n, ListUpdate::full(Source::Discovery, generation, lines, self.now));
         self.at(self.now + HEARTBEAT, Event::Heartbeat(n, number));
     }
 
@@ -802,17 +810,17 @@
     name.strip_prefix('e').and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
-fn line_of(endpoint: EndpointNo, dest: usize, weight: f64, state: Listed) -> ListLine {
-    ListLine {
+fn line_of(endpoint: EndpointNo, dest: usize, weight: f64, state: Listed) -> EndpointRecord {
+    EndpointRecord {
         name: format!("e{endpoint}"),
         addr: SocketAddr::from((Ipv4Addr::from(0x0A00_0000 + endpoint), 80)),
         dest: dest as u16,
         kind: 0,
         zone: 0,
         state: match state {
-            Listed::Up => ListState::Up,
-            Listed::Draining => ListState::Draining,
-            Listed::Gone => ListState::Gone,
+            Listed::Up => EndpointState::Up,
+            Listed::Draining => EndpointState::Draining,
+            Listed::Gone => EndpointState::Gone,
         },
         weight,
         rank: 0,
--- a/src/admin/hand.rs
+++ b/src/admin/hand.rs
@@ -1,7 +1,7 @@
 //! The endpoints that are out by hand, as the door changes them and the core sees them: each change is written to the folder
 //! that lasts before anybody is told yes, and then a version is raised that the core looks at.
 
-use crate::register::hand::{Known, No, Out, OUT_BYTES};
+use crate::register::exclusions::{ExcludedEndpoints, ExclusionError, ListedNames, MAX_EXCLUDED_BYTES};
 use crate::store::sealed::Sealed;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -9,7 +9,7 @@
 
 const FILE: Sealed = Sealed { name: "excluded", magic: "indigohold-excluded", version: 1 };
 /// Room for that file in the folder that lasts, the one before and the one being written counted.
-pub const ROOM: u64 = 3 * (OUT_BYTES as u64 + 512);
+pub const ROOM: u64 = 3 * (MAX_EXCLUDED_BYTES as u64 + 512);
 
 /// See the module.
 #[derive(Debug, Default)]
@@ -17,20 +17,20 @@
     dir: PathBuf,
     /// Held while the file is written: only by who makes a call.
     calls: Mutex<()>,
-    out: Mutex<Arc<Out>>,
+    out: Mutex<Arc<ExcludedEndpoints>>,
     version: AtomicU64,
     /// Another process changes them now.
     closed: AtomicBool,
-    known: Mutex<Known>,
+    known: Mutex<ListedNames>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn read(body: &[u8]) -> Result<Out, String> {
+fn read(body: &[u8]) -> Result<ExcludedEndpoints, String> {
     let names: Vec<String> = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    Ok(Out::of(names))
+    Ok(ExcludedEndpoints::from_names(names))
 }
 
 impl Hand {
@@ -53,7 +53,7 @@
 
     /// These are listed now.
     pub fn listed<'a>(&self, names: impl IntoIterator<Item = &'a str>) {
-        lock(&self.known).listed(names);
+        lock(&self.known).record(names);
     }
 
     /// Raised with each change.
@@ -62,7 +62,7 @@
     }
 
     /// Those that are out.
-    pub fn out(&self) -> Arc<Out> {
+    pub fn out(&self) -> Arc<ExcludedEndpoints> {
         lock(&self.out).clone()
     }
 
@@ -83,7 +83,9 @@
     }
 
     fn change(
-        &self, by: impl FnOnce(&Out, &Known) -> Result<Option<Out>, No>, done: &str, before: &str,
+        &self,
+        by: impl FnOnce(&ExcludedEndpoints, &ListedNames) -> Result<Option<ExcludedEndpoints>, ExclusionError>,
+        done: &str, before: &str,
     ) -> Result<String, String> {
         let _one_at_a_time = lock(&self.calls);
         if self.closed.load(Ordering::SeqCst) {
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -12,7 +12,7 @@
 use crate::net::ask::shape::{kind, plain, word};
 use crate::net::ask::{Asker, Tell};
 use crate::net::peers::published::Published;
-use crate::register::hand::NAME_MOST;
+use crate::register::exclusions::MAX_NAME_BYTES;
 use figures::Board;
 use hand::Hand;
 use std::fmt;
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 
 /// The longest line that is read: the longest call, and room for spaces.
-pub const LINE_MOST: usize = NAME_MOST + 64;
+pub const LINE_MOST: usize = MAX_NAME_BYTES + 64;
 
 const NO_SUCH: &str = "no such call; there are readyz, telemetry, exclude ID and include ID";
 
@@ -67,9 +67,9 @@
             return Err("the line is no text".into());
         }
         let words: Vec<&str> = line.split([' ', '\t']).filter(|w| !w.is_empty()).collect();
-        let id = |id: &str| match id.len() <= NAME_MOST {
+        let id = |id: &str| match id.len() <= MAX_NAME_BYTES {
             true => Ok(id.to_owned()),
-            false => Err(format!("the id is longer than {NAME_MOST} bytes")),
+            false => Err(format!("the id is longer than {MAX_NAME_BYTES} bytes")),
         };
         match words[..] {
             [] => Err("the line is empty".into()),
@@ -174,7 +174,7 @@
         assert_eq!(Call::parse(b"readyz"), Ok(Call::Ready));
         assert_eq!(Call::parse(b" exclude\t s-1 \r".trim_ascii()), Ok(Call::Exclude("s-1".into())));
         assert_eq!(Call::parse(b"include x"), Ok(Call::Include("x".into())));
-        let long = format!("exclude {}", "x".repeat(NAME_MOST + 1));
+        let long = format!("exclude {}", "x".repeat(MAX_NAME_BYTES + 1));
         for (line, word) in [
             (&b""[..], "empty"),
             (b"   ", "empty"),
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -8,7 +8,7 @@
 use crate::history::config as history;
 use crate::net::{mail, peers};
 use crate::register::config as register;
-use crate::register::list::{Instance, List, Places};
+use crate::register::list::{DiscoveryList, Instance, KindAndZoneNames};
 use crate::settings::Document;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value};
@@ -25,7 +25,7 @@
     let places = match &paths.config {
         None => {
             out.push("NODE_CONFIG: not set".to_owned());
-            Places::default()
+            KindAndZoneNames::default()
         }
         Some(path) => main_file(path, paths, &mut out),
     };
@@ -46,7 +46,7 @@
     }
     match register::read(&paths.register) {
         Ok(config) => {
-            if let Some(file) = config.fixed {
+            if let Some(file) = config.static_file {
                 out.extend(list_file(&file, &places).1);
             }
         }
@@ -55,12 +55,12 @@
     out
 }
 
-fn main_file(path: &Path, paths: &Paths, out: &mut Vec<String>) -> Places {
+fn main_file(path: &Path, paths: &Paths, out: &mut Vec<String>) -> KindAndZoneNames {
     let mut say = |at: &str, what: &dyn std::fmt::Display| {
         let at = if at.is_empty() { String::new() } else { format!("{at}: ") };
         out.push(format!("{}: {at}{what}", path.display()));
     };
-    let mut places = Places::default();
+    let mut places = KindAndZoneNames::default();
     let fields: Map<String, Value> = match std::fs::read(path)
         .map_err(|e| e.to_string())
         .and_then(|bytes| serde_json::from_slice(&bytes).map_err(|e| e.to_string()))
@@ -178,7 +178,7 @@
 }
 
 /// Reads a list of backends as a file of its own; the list if it is good, and its faults with the file's name.
-pub fn list_file(path: &Path, places: &Places) -> (Option<List>, Vec<String>) {
+pub fn list_file(path: &Path, places: &KindAndZoneNames) -> (Option<DiscoveryList>, Vec<String>) {
     let fail = |e: String| format!("{}: {e}", path.display());
     let value: Value = match std::fs::read(path)
         .map_err(|e| e.to_string())
@@ -191,7 +191,7 @@
     if !faults.is_empty() {
         return (None, faults);
     }
-    let list: List = match serde_json::from_value(value) {
+    let list: DiscoveryList = match serde_json::from_value(value) {
         Ok(list) => list,
         Err(e) => return (None, vec![fail(e.to_string())]),
     };
@@ -235,7 +235,7 @@
                 } else if !["up", "draining", "removed"].contains(&instance.lifecycle.as_str()) {
                     let what = "is none of up, draining and removed";
                     out.push(format!("{at}.lifecycle: {:?} {what}", instance.lifecycle));
-                } else if instance.line(&Places::default()).is_none() {
+                } else if instance.to_record(&KindAndZoneNames::default()).is_none() {
                     out.push(format!("{at}.instanceId: empty or too long"));
                 }
                 if let Some(before) = seen.insert(instance.instance_id.clone(), n) {
--- a/src/cli/register.rs
+++ b/src/cli/register.rs
@@ -4,8 +4,8 @@
 use super::Register;
 use crate::config::Paths;
 use crate::register::config as register;
-use crate::register::kept::{self, Kept};
-use crate::register::list::{List, Places};
+use crate::register::kept_copy::{self, KeptList};
+use crate::register::list::{DiscoveryList, KindAndZoneNames};
 use serde_json::json;
 use std::fs;
 use std::io::Write;
@@ -21,9 +21,9 @@
     }
 }
 
-fn kept(paths: &Paths) -> Result<Kept, String> {
+fn kept(paths: &Paths) -> Result<KeptList, String> {
     let dir = paths.state()?;
-    let (kept, said) = kept::read(&dir);
+    let (kept, said) = kept_copy::read(&dir);
     said.iter().for_each(|words| eprintln!("indigohold: {words}"));
     kept.ok_or_else(|| format!("no list is kept in {}", dir.display()))
 }
@@ -33,12 +33,12 @@
     let kept = kept(paths)?;
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
     // A copy from the future says nothing of its age.
-    let age_s = now.checked_sub(kept.heard().0).map(|us| us as f64 / 1e6);
-    let usable = rules.use_stale || age_s.is_some_and(|age| age <= rules.use_within.secs());
-    let allowed = age_s.map_or(Some(1), |s| rules.trust.allowed(crate::Micros::from_secs(s), 0));
+    let age_s = now.checked_sub(kept.confirmed_at().0).map(|us| us as f64 / 1e6);
+    let usable = rules.use_stale_copy || age_s.is_some_and(|age| age <= rules.max_copy_age.secs());
+    let allowed = age_s.map_or(Some(1), |s| rules.trust.concurrency_limit(crate::Micros::from_secs(s), 0));
     if as_json {
         let value = json!({
-            "heard_ms": kept.heard_ms, "age_s": age_s, "usable": usable, "first_calls_at_once": allowed,
+            "heard_ms": kept.confirmed_ms, "age_s": age_s, "usable": usable, "first_calls_at_once": allowed,
             "list": kept.list,
         });
         return serde_json::to_string_pretty(&value).map(|text| text + "\n").map_err(|e| e.to_string());
@@ -85,19 +85,19 @@
     let config = register::read(&paths.register).map_err(|f| {
         format!("{}: {}", paths.register.display(), f.first().map_or(String::new(), |f| f.to_string()))
     })?;
-    let into = config.fixed.ok_or_else(|| format!("{}: static: not set", paths.register.display()))?;
+    let into = config.static_file.ok_or_else(|| format!("{}: static: not set", paths.register.display()))?;
     let places = paths
         .read()
         .ok()
         .and_then(|config| config.settings.split().ok())
-        .map_or(Places::default(), |(_, names)| names.places());
+        .map_or(KindAndZoneNames::default(), |(_, names)| names.places());
     let (list, faults) = list_file(file, &places);
     let (Some(mut list), true) = (list, faults.is_empty()) else { return Err(faults.join("\n")) };
     list.reset = true;
     if merge && into.exists() {
         let (old, faults) = list_file(&into, &places);
         let Some(old) = old else { return Err(faults.join("\n")) };
-        let List { generation, instances, .. } = old;
+        let DiscoveryList { generation, instances, .. } = old;
         let named: std::collections::HashSet<String> =
             list.instances.iter().map(|i| i.instance_id.clone()).collect();
         list.instances.extend(instances.into_iter().filter(|i| !named.contains(&i.instance_id)));
--- a/src/config.rs
+++ b/src/config.rs
@@ -4,7 +4,7 @@
 //! by the next start.
 
 use crate::api::PeerId;
-use crate::register::list::List;
+use crate::register::list::DiscoveryList;
 use crate::settings::Document;
 use serde::Deserialize;
 use serde_json::Value;
@@ -28,7 +28,7 @@
     seed: String,
     #[serde(default)]
     limits: Limits,
-    known: Option<List>,
+    known: Option<DiscoveryList>,
     settings: Document,
 }
 
@@ -140,7 +140,7 @@
     /// Room in the folder that lasts.
     pub disk_mb: f64,
     /// The list as last known.
-    pub known: List,
+    pub known: DiscoveryList,
     /// The site's settings.
     pub settings: Document,
 }
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -59,7 +59,7 @@
             held.attempts = held.attempts.wrapping_add(1);
             held.in_flight = true;
             let until = now;
-            let goes = self.register.book(req.front, now).call(now, &backend.name, msg);
+            let goes = self.register.front_mut(req.front, now).admit_call(now, &backend.name, msg);
             let fetch = Fetch { msg, attempt, endpoint: at, backend, req, deadline: until };
             if goes {
                 call.push((fetch, cap));
--- a/src/core/ending.rs
+++ b/src/core/ending.rs
@@ -4,8 +4,8 @@
 use super::{returned, Core, End, Fetch, FinishedFetch, Verdict, MIN_TIME_TO_BEGIN};
 use crate::admin::figures::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
-use crate::register::trust::{CallEnd, Heard};
-use crate::register::News;
+use crate::register::trust::{CallEnd, CallReport};
+use crate::register::RegistryEffects;
 use crate::store::How;
 
 impl Core {
@@ -52,7 +52,8 @@
         self.look_at_hand(now);
         let alive = self.messages.get(&fetch.msg).is_some_and(|m| !m.decided);
         let ends = self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at);
-        let listed = self.register.get(fetch.req.front).is_some_and(|b| b.serves(&fetch.backend.name));
+        let listed =
+            self.register.front(fetch.req.front).is_some_and(|b| b.accepts_calls(&fetch.backend.name));
         let told_wait =
             self.destination_waits.get(&(fetch.req.front, fetch.req.dest)).is_some_and(|until| now < *until);
         let conditions = [
@@ -117,7 +118,7 @@
             End::NotBegun => (self.not_begun(fetch.msg), false),
             End::Over | End::Rejected => (Outcome::Moot, true),
             // A machine that only an old list names says nothing of its destination.
-            End::NotConnected if heard == Heard::Masked => (Outcome::Moot, false),
+            End::NotConnected if heard == CallReport::AsUnsent => (Outcome::Moot, false),
             End::NotConnected => (Outcome::ConnectFailed, false),
             End::Broke => (Outcome::Reset, false),
             End::TimedOut => (Outcome::Timeout, false),
@@ -141,10 +142,10 @@
     /// The register hears how a fetch ended. What follows of that for the module is added to `events`.
     pub(super) fn trust(
         &mut self, now: Micros, fetch: &Fetch, end: CallEnd, events: &mut Vec<Event>,
-    ) -> Heard {
+    ) -> CallReport {
         let front = fetch.req.front;
-        let (heard, news) = self.register.book(front, now).returned(now, &fetch.backend.name, end);
-        if news != News::default() {
+        let (heard, news) = self.register.front_mut(front, now).call_ended(now, &fetch.backend.name, end);
+        if news != RegistryEffects::default() {
             let more = self.changed(now, front, news);
             events.extend(more);
         }
@@ -156,7 +157,7 @@
         let (fetch, _) = self.waiting_fetches.remove(&msg)?;
         if let Some(held) = self.messages.get_mut(&msg) {
             held.in_flight = false;
-            self.register.book(held.req.front, Micros(0)).call_off(&fetch.backend.name, msg);
+            self.register.front_mut(held.req.front, Micros(0)).cancel_waiting_call(&fetch.backend.name, msg);
         }
         let outcome = self.not_begun(msg);
         Some(returned(&fetch, outcome, false, Micros(0), Vec::new()))
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -5,7 +5,7 @@
 use super::{Answer, End, Notice, PendingMessage, Report};
 use super::{Backend, Core, Courier, Fetch, FinishedFetch, Order};
 use crate::api::{EndpointId, EngineState, Event, MessageId, Micros};
-use crate::register::kept::Edition;
+use crate::register::kept_copy::ListSnapshot;
 use crossbeam_channel::Sender;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
     next_name: u32,
     module: EngineState,
     /// What discovery has told.
-    pub lists: Vec<(u8, Edition)>,
+    pub lists: Vec<(u8, ListSnapshot)>,
     /// Messages that their clients are just being told of.
     pub answering: BTreeSet<u64>,
 }
@@ -71,7 +71,7 @@
             names,
             next_name: self.next_endpoint_number,
             module: self.policy.export_state(),
-            lists: self.register.editions(),
+            lists: self.register.snapshots(),
             answering: BTreeSet::new(),
         }
     }
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -1,9 +1,9 @@
 //! What the register says reaches the module and the fronts; names of backends, and those left out by hand.
 
-use super::{returned, Backend, Core, ListState, Order, PLATFORM_FRONT};
+use super::{returned, Backend, Core, EndpointState, Order, PLATFORM_FRONT};
 use crate::api::{DestinationId, EndpointId, Entry, Event, KindId, Listed, Micros, Outcome, ZoneId};
 use crate::register::trust::CallEnd;
-use crate::register::{Change, News};
+use crate::register::{EndpointChange, RegistryEffects};
 use std::sync::Arc;
 
 /// A backend that has gone is known for so long: more than any window in which a message may be repeated.
@@ -19,7 +19,7 @@
             unavailable += u64::from(out || endpoint.is_some_and(|at| self.policy.is_ejected(*at)));
         }
         let ready =
-            self.register.get(PLATFORM_FRONT).is_none_or(|book| book.ready(self.next_member_count_at));
+            self.register.front(PLATFORM_FRONT).is_none_or(|book| book.ready(self.next_member_count_at));
         (self.figures.members, self.figures.unavailable, self.figures.ready) = (members, unavailable, ready);
     }
 
@@ -31,7 +31,7 @@
         };
         // Danger: read before the set, so that a change in between is looked at once more and never missed.
         self.overrides_version = hand.version();
-        for (front, back, news) in self.register.left_out(now, hand.out()) {
+        for (front, back, news) in self.register.set_excluded(now, hand.out()) {
             let back = back.iter().map(|name| Event::Restarted(self.intern(front, name))).collect();
             self.listed(now, front, news, back);
         }
@@ -48,17 +48,17 @@
     }
 
     /// Carries out what the register decided, and tells the module.
-    pub(super) fn listed(&mut self, now: Micros, front: u8, news: News, more: Vec<Event>) {
+    pub(super) fn listed(&mut self, now: Micros, front: u8, news: RegistryEffects, more: Vec<Event>) {
         let mut events = self.changed(now, front, news);
         events.extend(more);
         self.feed(now, &events, &mut []);
     }
 
     /// The same; the events for the module are returned.
-    pub(super) fn changed(&mut self, now: Micros, front: u8, news: News) -> Vec<Event> {
-        news.said.iter().for_each(|words| tracing::info!(target: "register", "{words}"));
+    pub(super) fn changed(&mut self, now: Micros, front: u8, news: RegistryEffects) -> Vec<Event> {
+        news.log_lines.iter().for_each(|words| tracing::info!(target: "register", "{words}"));
         let mut lines = Vec::with_capacity(news.changes.len());
-        for Change { line, benched } in news.changes {
+        for EndpointChange { record: line, ejected } in news.changes {
             let key = (front, line.name.clone());
             let endpoint = self.intern(front, &line.name);
             lines.push(Entry {
@@ -67,30 +67,30 @@
                 kind: KindId(line.kind),
                 zone: ZoneId(line.zone),
                 state: match line.state {
-                    ListState::Up if benched => Listed::Draining,
-                    ListState::Up => Listed::Ready,
-                    ListState::Draining => Listed::Draining,
-                    ListState::Gone => Listed::Gone,
+                    EndpointState::Up if ejected => Listed::Draining,
+                    EndpointState::Up => Listed::Ready,
+                    EndpointState::Draining => Listed::Draining,
+                    EndpointState::Gone => Listed::Gone,
                 },
                 weight: line.weight,
                 rank: line.rank,
             });
             self.batches.listed(endpoint, line.kind);
             let listed = Arc::new(Backend { name: key.1, addr: line.addr });
-            if line.state == ListState::Gone {
+            if line.state == EndpointState::Gone {
                 self.removed_backends.push_back((now, front, listed.clone()));
             }
             // Nothing new goes to a connection of one that drains, is gone or has moved.
             let before = self.backends.insert(endpoint, listed.clone()).filter(|b| *b != listed);
-            let parts = line.state != ListState::Up;
+            let parts = line.state != EndpointState::Up;
             before.into_iter().chain(parts.then_some(listed)).for_each(|b| self.order(Order::CloseIdle(b)));
         }
         self.forget_gone(now);
-        if news.read_again {
+        if news.reread_list {
             self.order(Order::ReadList(front));
         }
         let mut events: Vec<Event> =
-            news.returned.into_iter().filter_map(|msg| self.leave_line(msg)).collect();
+            news.rejected.into_iter().filter_map(|msg| self.leave_line(msg)).collect();
         for msg in news.released {
             let Some((fetch, cap)) = self.waiting_fetches.remove(&msg) else { continue };
             if self.messages.contains_key(&msg) {
@@ -117,7 +117,7 @@
             let Some((_, front, backend)) = self.removed_backends.pop_front() else { return };
             let key = (front, backend.name.clone());
             // It may have come back.
-            if !self.register.get(front).is_some_and(|b| b.lists(&key.1)) {
+            if !self.register.front(front).is_some_and(|b| b.contains(&key.1)) {
                 if let Some(endpoint) = self.endpoint_ids.remove(&key) {
                     self.backends.remove(&endpoint);
                     self.batches.forget(endpoint);
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -28,7 +28,7 @@
 pub use crate::clock::Clock;
 use crate::comeback::memory::Waits;
 use crate::history::keeper::Keeper;
-use crate::register::{News, Register, Rules as RegisterRules};
+use crate::register::{Registry, RegistryEffects, RegistryRules};
 use crate::store::{How, Journal};
 pub use crate::store::{Req, Verdict};
 use crate::Sender;
@@ -50,7 +50,7 @@
 #[derive(Default)]
 pub struct Options {
     /// For the register.
-    pub register: RegisterRules,
+    pub register: RegistryRules,
     /// Where drains are written down; `None`: none can be asked for.
     pub drain_dir: Option<PathBuf>,
     /// The class of what the courier hands in itself to tell an end, as bounces are: a drain lets it in and does not end
@@ -112,7 +112,7 @@
     /// Backends that have gone, and when: forgotten once no message remembers them.
     removed_backends: VecDeque<(Micros, u8, Arc<Backend>)>,
     /// Which backends are listed, by whom, and how far they are trusted.
-    register: Register,
+    register: Registry,
     batches: Batches,
     /// Fetches that wait for their turn at a backend that is not fully trusted, with their time-outs.
     waiting_fetches: BTreeMap<u64, (Fetch, Micros)>,
@@ -184,7 +184,7 @@
             endpoint_ids: HashMap::new(),
             next_endpoint_number: 1,
             removed_backends: VecDeque::new(),
-            register: Register::new(options.register, seed),
+            register: Registry::new(options.register, seed),
             batches,
             waiting_fetches: BTreeMap::new(),
             draining,
@@ -326,21 +326,21 @@
             }
             Report::List { front, update: word } => {
                 if let Some(hand) = &self.overrides {
-                    hand.listed(word.lines.iter().map(|line| line.name.as_str()));
+                    hand.listed(word.records.iter().map(|line| line.name.as_str()));
                 }
                 // Discovery has answered, if only that nothing has changed: the module hears that too.
-                let answered = (word.source == Source::Watch).then(|| Event::ListChange(Vec::new()));
-                let news = self.register.book(front, now).hear(now, word);
+                let answered = (word.source == Source::Discovery).then(|| Event::ListChange(Vec::new()));
+                let news = self.register.front_mut(front, now).apply_update(now, word);
                 self.listed(now, front, news, answered.into_iter().collect());
             }
             Report::ListUnchanged(front) => {
-                let news = self.register.book(front, now).heartbeat(now);
-                if news != News::default() {
+                let news = self.register.front_mut(front, now).heartbeat(now);
+                if news != RegistryEffects::default() {
                     self.listed(now, front, news, Vec::new());
                 }
             }
             Report::ListFailed(front) => {
-                let news = self.register.book(front, now).unheard(now);
+                let news = self.register.front_mut(front, now).watch_failed(now);
                 self.listed(now, front, news, vec![Event::ListFailed]);
             }
         }
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -62,7 +62,7 @@
     /// The module asks for a probe. What can't be ordered ends at once, by an event that is returned. Danger: an endpoint
     /// counts as half open until its probe ends, and gets nothing meanwhile.
     pub(super) fn probe(&mut self, now: Micros, at: EndpointId) -> Option<Event> {
-        let to = self.name_of(at).and_then(|name| self.register.get(PLATFORM_FRONT)?.dest_of(&name));
+        let to = self.name_of(at).and_then(|name| self.register.front(PLATFORM_FRONT)?.destination_of(&name));
         let (Some(dest), Some(backend), true) = (to, self.backends.get(&at).cloned(), self.neighbours.probes)
         else {
             return Some(probed(at, Outcome::Moot, Micros(0), Vec::new()));
@@ -88,7 +88,8 @@
             return false;
         }
         self.look_at_hand(now);
-        let listed = self.register.get(PLATFORM_FRONT).is_some_and(|b| b.serves(&probe.backend.name));
+        let listed =
+            self.register.front(PLATFORM_FRONT).is_some_and(|b| b.accepts_calls(&probe.backend.name));
         let same = self.backends.get(&probe.endpoint).is_some_and(|b| *b == probe.backend);
         let told_wait =
             self.destination_waits.get(&(PLATFORM_FRONT, probe.dest)).is_some_and(|until| now < *until);
@@ -125,7 +126,7 @@
     /// As [`Courier::noted`].
     pub fn noted(&mut self, now: Micros, from: PeerId, note: &Note) -> bool {
         let Note::EndpointRecovered(name) = note;
-        let listed = self.register.get(PLATFORM_FRONT).is_some_and(|b| b.lists(name));
+        let listed = self.register.front(PLATFORM_FRONT).is_some_and(|b| b.contains(name));
         let Some(at) = self.endpoint_ids.get(&(PLATFORM_FRONT, name.clone())).copied().filter(|_| listed)
         else {
             return false;
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -4,7 +4,7 @@
 use super::{Backend, Req, Verdict};
 use crate::api::{EndpointId, Micros, PeerId};
 use crate::register::trust::CallEnd;
-pub use crate::register::{ListLine, ListState, Source, Word};
+pub use crate::register::{EndpointRecord, EndpointState, ListUpdate, Source};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -160,7 +160,7 @@
         /// Whose list it is.
         front: u8,
         /// What its source says.
-        update: Word,
+        update: ListUpdate,
     },
     /// The watch on the list is open, and nothing has changed.
     ListUnchanged(u8),
--- a/src/core/remember.rs
+++ b/src/core/remember.rs
@@ -90,7 +90,7 @@
         let outages: HashMap<EndpointId, Outage> = self.policy.outages(now).into_iter().collect();
         self.endpoint_ids.iter().filter_map(move |((front, name), id)| {
             let outage = *outages.get(id)?;
-            let dest = self.register.get(*front)?.dest_of(name)?;
+            let dest = self.register.front(*front)?.destination_of(name)?;
             Some(Known { front: *front, name: name.clone(), dest, outage })
         })
     }
--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -8,7 +8,7 @@
 use crate::history::reading::World;
 use crate::history::replay::{Gate, Life, Live, Not, Order, Run};
 use crate::history::store::History;
-use crate::register::Register;
+use crate::register::Registry;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -104,11 +104,11 @@
 }
 
 /// Whether an endpoint that remembers the key is there. Danger: of a zone only the very endpoint is known to be of it.
-fn group(classes: &[Class], register: &Register, dest: u16, backend: &str, class: u16) -> bool {
-    let books = || (0..2).filter_map(|front| register.get(front));
+fn group(classes: &[Class], register: &Registry, dest: u16, backend: &str, class: u16) -> bool {
+    let books = || (0..2).filter_map(|front| register.front(front));
     match effect(classes, class) {
-        Effect::Keyed { group: Group::All, .. } => books().any(|b| b.knows_dest(dest)),
-        _ => books().any(|b| b.serves(backend)),
+        Effect::Keyed { group: Group::All, .. } => books().any(|b| b.has_destination(dest)),
+        _ => books().any(|b| b.accepts_calls(backend)),
     }
 }
 
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -5,7 +5,7 @@
 use crate::api::{Micros, Settings};
 use crate::clock::Clock;
 use crate::history::shelf::Shelf;
-use crate::register::kept::Edition;
+use crate::register::kept_copy::ListSnapshot;
 use crate::register::phase::Phase;
 use crate::shared::sharing::Desk;
 use crate::store::Journal;
@@ -205,28 +205,28 @@
 
     /// What the courier may do, by what its list of this front rests on.
     pub fn phase(&self, front: u8) -> Phase {
-        self.state().register.get(front).map_or(Phase::Cold, |b| b.phase())
+        self.state().register.front(front).map_or(Phase::Cold, |b| b.phase())
     }
 
     /// Whether a front calls itself ready.
     pub fn ready(&self, front: u8) -> bool {
         let now = self.clock.now();
-        self.state().register.book(front, now).ready(now)
+        self.state().register.front_mut(front, now).ready(now)
     }
 
     /// The version of a front's list after which its changes are to be asked for.
     pub fn list_version(&self, front: u8) -> u64 {
-        self.state().register.get(front).map_or(0, |b| b.version())
+        self.state().register.front(front).map_or(0, |b| b.list_version())
     }
 
     /// The number of a front's list and when it was last true, once discovery has spoken.
     pub fn edition(&self, front: u8) -> Option<(u64, Micros)> {
-        self.state().register.get(front)?.edition()
+        self.state().register.front(front)?.revision()
     }
 
     /// That list, and the bytes that the journal takes beside it.
-    pub fn list_to_store(&self, front: u8) -> Option<(Edition, u64)> {
+    pub fn list_to_store(&self, front: u8) -> Option<(ListSnapshot, u64)> {
         let state = self.state();
-        Some((state.register.get(front)?.to_keep()?, state.journal.on_disk()))
+        Some((state.register.front(front)?.snapshot()?, state.journal.on_disk()))
     }
 }
--- a/src/core/taking.rs
+++ b/src/core/taking.rs
@@ -66,9 +66,13 @@
         if let Some(turn) = self.draining.refusal(now, req) {
             return Some(Answer::Draining { wait: turn.wait, drain: turn.id });
         }
-        let book = self.register.book(req.front, now);
-        if !book.knows_dest(req.dest) {
-            return Some(if book.certain() { Answer::NoSuchDest } else { Answer::Refused(stay_away) });
+        let book = self.register.front_mut(req.front, now);
+        if !book.has_destination(req.dest) {
+            return Some(if book.destinations_known() {
+                Answer::NoSuchDest
+            } else {
+                Answer::Refused(stay_away)
+            });
         }
         let full = self.messages.len() + before >= self.max_pending;
         full.then_some(Answer::Refused(stay_away))
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -8,16 +8,16 @@
 use crate::clock::anchor;
 use crate::config::{Addresses, Config, Paths};
 use crate::control::{self, shape::Words};
-use crate::core::{draining, remember as memory, Courier, Options, Report, Source, Word};
+use crate::core::{draining, remember as memory, Courier, ListUpdate, Options, Report, Source};
 use crate::history;
 use crate::net::ask::{Asker, Setup};
 use crate::net::peers::riders;
 use crate::net::{self, mail, platform};
+use crate::register::address_rotation::AddressRotation;
 use crate::register::config as register;
-use crate::register::fixed::Fixed;
-use crate::register::kept::{self, KeepRules, Keeper};
-use crate::register::list::Read;
-use crate::register::seek::Seek;
+use crate::register::kept_copy::{self, KeptCopyRules, KeptCopyWriter};
+use crate::register::list::ParsedList;
+use crate::register::static_file::StaticFile;
 use crate::store::{owner, Journal, Succession};
 use crate::upgrade::{self, inherit};
 pub(crate) use parts::classes_of;
@@ -89,8 +89,11 @@
     let upgradable = door_at.is_some() || inherited.is_some();
     let zones = mail_config.as_ref().map_or(0, |m| mail::dns::server::room(m.zones.len()));
     let disk = (config.disk_mb * 1e6) as u64;
-    let keep = KeepRules { disk: reg.keep.disk.min(disk / KEPT_SHARE), ..reg.keep.clone() };
-    let for_copy = if keep.enabled && config.listen.is_some() { keep.disk } else { 0 };
+    let keep = KeptCopyRules {
+        disk_bytes: reg.kept_copy.disk_bytes.min(disk / KEPT_SHARE),
+        ..reg.kept_copy.clone()
+    };
+    let for_copy = if keep.enabled && config.listen.is_some() { keep.disk_bytes } else { 0 };
     let for_drains = if control.is_some() { draining::RESERVED_DISK_BYTES } else { 0 };
     let in_state = |e: &dyn std::fmt::Display| format!("NODE_STATE: {}: {e}", state.display());
     let for_hand = if door_at.is_some() { hand::ROOM } else { 0 };
@@ -162,34 +165,34 @@
     if let Some(listen) = config.listen {
         let places = names.places();
         let now = courier.clock.now();
-        let tell = |word: Word| {
+        let tell = |word: ListUpdate| {
             courier.report(Report::List { front: platform::FRONT, update: word });
         };
-        let read = Read { list: known, unread: Vec::new() };
+        let read = ParsedList { list: known, unreadable: Vec::new() };
         // What the configuration knows is a whole list, whatever it calls itself.
-        tell(Word { whole: true, ..read.word(Source::Known, &places, now) });
+        tell(ListUpdate { is_full_list: true, ..read.into_update(Source::Configured, &places, now) });
         if keep.enabled {
-            let (copy, said) = kept::read(&state);
+            let (copy, said) = kept_copy::read(&state);
             said.iter().for_each(|words| tracing::warn!(target: "register", "{words}"));
             if let Some(copy) = copy {
                 // A copy from the future says nothing of its age: it is as old as can be trusted at all.
-                let from_future = copy.heard() > now;
-                let as_of = if from_future { now - reg.rules.use_within } else { copy.heard() };
-                let read = Read { list: copy.list, unread: Vec::new() };
-                tell(Word { whole: true, ..read.word(Source::Copy, &places, as_of) });
+                let from_future = copy.confirmed_at() > now;
+                let as_of = if from_future { now - reg.rules.max_copy_age } else { copy.confirmed_at() };
+                let read = ParsedList { list: copy.list, unreadable: Vec::new() };
+                tell(ListUpdate { is_full_list: true, ..read.into_update(Source::KeptCopy, &places, as_of) });
             }
-            keeper = Some(Keeper::new(&state, keep, places.clone()));
+            keeper = Some(KeptCopyWriter::new(&state, keep, places.clone()));
         }
         for (front, list) in lists {
-            let word = Word::whole(Source::Watch, list.generation, list.lines, now);
+            let word = ListUpdate::full(Source::Discovery, list.generation, list.records, now);
             courier.report(Report::List { front, update: word });
         }
-        if let Some(file) = reg.fixed {
-            let mut file = Fixed::new(file, places);
-            file.look(now).into_iter().for_each(tell);
+        if let Some(file) = reg.static_file {
+            let mut file = StaticFile::new(file, places);
+            file.read_if_changed(now).into_iter().for_each(tell);
             fixed = Some(file);
         }
-        let seek = Seek::new(discovery?, &reg.also, config.seed);
+        let seek = AddressRotation::new(discovery?, &reg.extra_addrs, config.seed);
         let mut bounds = config.bounds;
         if door_at.is_some() {
             bounds.sockets -= door::places(bounds.sockets);
@@ -198,7 +201,7 @@
             bounds.sockets -= asks.most.connections.min(config.bounds.sockets / ASK_SHARE);
         }
         let (platform, front) =
-            platform::start(&courier, bounds, names, slots, seek, reg.poll, &admission.platform)
+            platform::start(&courier, bounds, names, slots, seek, reg.poll_interval, &admission.platform)
                 .map_err(fail)?;
         let listener = match inherited.or(taken_listener.take()) {
             Some(listener) => listener,
@@ -361,7 +364,9 @@
                 let others = zones + for_drains + for_hand + memory::ROOM + anchor::ROOM + for_history;
                 keep_list(&courier, keeper, disk.saturating_sub(others));
             }
-            if let Some(word) = fixed.as_mut().and_then(|f: &mut Fixed| f.look(courier.clock.now())) {
+            if let Some(word) =
+                fixed.as_mut().and_then(|f: &mut StaticFile| f.read_if_changed(courier.clock.now()))
+            {
                 courier.report(Report::List { front: platform::FRONT, update: word });
             }
         }
--- a/src/daemon/parts.rs
+++ b/src/daemon/parts.rs
@@ -9,7 +9,7 @@
 use crate::net::peers::control::Shared;
 use crate::net::peers::riders::{self, Place};
 use crate::net::{mail, platform};
-use crate::register::kept::Keeper;
+use crate::register::kept_copy::KeptCopyWriter;
 use crate::settings::Names;
 use crate::store::Journal;
 use std::path::Path;
@@ -72,13 +72,13 @@
 }
 
 /// Keeps the list if that is due. Nothing is copied under the core's lock otherwise.
-pub(super) fn keep_list(courier: &Courier, keeper: &mut Keeper, disk: u64) {
+pub(super) fn keep_list(courier: &Courier, keeper: &mut KeptCopyWriter, disk: u64) {
     let now = courier.clock.now();
     let due = courier.edition(platform::FRONT).is_some_and(|(number, heard)| keeper.due(now, number, heard));
     let Some((edition, journal)) = due.then(|| courier.list_to_store(platform::FRONT)).flatten() else {
         return;
     };
-    if let Some(words) = keeper.keep(now, &edition, disk.saturating_sub(journal)) {
+    if let Some(words) = keeper.write(now, &edition, disk.saturating_sub(journal)) {
         tracing::warn!(target: "register", "{words}");
     }
 }
--- a/src/net/mail/mod.rs
+++ b/src/net/mail/mod.rs
@@ -14,7 +14,7 @@
 use super::pool::{Pool, BUF_BYTES};
 use super::{spawn, Front};
 use crate::admission::config::Wishes;
-use crate::core::{Courier, ListLine, ListState, Report, Source, Word};
+use crate::core::{Courier, EndpointRecord, EndpointState, ListUpdate, Report, Source};
 use config::MailConfig;
 use crossbeam_channel::unbounded;
 use dns::server::Zones;
@@ -184,18 +184,18 @@
         let Some(zones) = self.zones() else { return };
         let lines = self.config.partners.values().flat_map(|partner| {
             let backends = zones.backends(&partner.domain);
-            backends.into_iter().map(|backend| ListLine {
+            backends.into_iter().map(|backend| EndpointRecord {
                 name: format!("{}/{}", partner.dest, backend.name),
                 addr: backend.addr,
                 dest: partner.dest,
                 kind: partner.kind,
                 zone: 0,
-                state: ListState::Up,
+                state: EndpointState::Up,
                 weight: partner.rate,
                 rank: backend.rank,
             })
         });
-        let word = Word::whole(Source::Zone, 0, lines.collect(), self.courier.clock.now());
+        let word = ListUpdate::full(Source::Zone, 0, lines.collect(), self.courier.clock.now());
         self.courier.report(Report::List { front: FRONT, update: word });
     }
 }
--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -6,8 +6,8 @@
 use crate::api::Micros;
 use crate::core::{Report, Source};
 use crate::net::{conn, errors};
-use crate::register::clock::{Again, Pauses, Silence};
-use crate::register::list::Read;
+use crate::register::discovery_timing::{ReconnectBackoff, ResponseDeadline, SilenceRetry};
+use crate::register::list::ParsedList;
 use crossbeam_channel::Receiver;
 use std::io::{self, ErrorKind};
 use std::net::TcpStream;
@@ -40,7 +40,7 @@
 /// has counts as told from the first moment on. So there one is opened from the start and whenever there is none.
 pub fn work(platform: &Platform, orders: &Receiver<()>) {
     let (clock, pushed) = (&platform.courier.clock, platform.names.pushed);
-    let (mut pauses, mut again) = (Pauses::default(), Again::new(platform.names.couriers));
+    let (mut pauses, mut again) = (ReconnectBackoff::default(), SilenceRetry::new(platform.names.couriers));
     while pushed || orders.recv().is_ok() {
         let mut opened;
         loop {
@@ -59,14 +59,16 @@
             };
             tracing::warn!(target: "discovery", "the watch on the list at {addr} ended: {e}");
             // Where lists are pushed, `pauses` are short anyhow.
-            let own =
-                again.after(errors::timed_out(&e)).filter(|_| !pushed).map(|span| platform.site.within(span));
+            let own = again
+                .retry_within(errors::timed_out(&e))
+                .filter(|_| !pushed)
+                .map(|span| platform.site.within(span));
             let Some(pause) = platform.site.failed(addr).or(own) else { break };
             rest(orders, pause);
         }
         platform.courier.report(Report::ListFailed(FRONT));
         if pushed {
-            rest(orders, platform.site.jittered(pauses.after(clock.now() - opened)));
+            rest(orders, platform.site.jittered(pauses.pause_after(clock.now() - opened)));
         }
     }
 }
@@ -87,10 +89,10 @@
 }
 
 /// Calls discovery; the rest of the answer is waited for as the second says.
-fn open(platform: &Platform, query: &str) -> io::Result<(Arc<TcpStream>, Silence)> {
+fn open(platform: &Platform, query: &str) -> io::Result<(Arc<TcpStream>, ResponseDeadline)> {
     let clock = &platform.courier.clock;
-    let silence = Silence::open(clock.now(), platform.names.pushed);
-    let until = clock.instant(silence.until());
+    let silence = ResponseDeadline::start(clock.now(), platform.names.pushed);
+    let until = clock.instant(silence.expires_at());
     let stream = platform.site.connect(until)?;
     let host = stream.peer_addr()?;
     let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
@@ -101,27 +103,28 @@
 /// Takes in what comes before the deadline, or lies there if that is past: danger, a process that was stopped would throw
 /// away an answer that came in time.
 fn take_in(
-    platform: &Platform, stream: &TcpStream, buf: &mut [u8], silence: &mut Silence, lines: &mut Lines,
+    platform: &Platform, stream: &TcpStream, buf: &mut [u8], silence: &mut ResponseDeadline,
+    lines: &mut Lines,
 ) -> io::Result<Result<usize, String>> {
-    conn::peek(stream, &mut [0], platform.courier.clock.instant(silence.until()))?;
+    conn::peek(stream, &mut [0], platform.courier.clock.instant(silence.expires_at()))?;
     // It is there, so this does not wait.
     let n = conn::read(stream, buf, Instant::now() + AT_ONCE)?;
-    silence.bytes();
+    silence.bytes_received();
     Ok(lines.push(&buf[..n]).map(|()| n))
 }
 
 fn tell(platform: &Platform, line: &[u8]) -> io::Result<()> {
-    let read = Read::from(line).map_err(io::Error::other)?;
-    let word = read.word(Source::Watch, &platform.places, platform.courier.clock.now());
-    if !word.unread.is_empty() {
-        let (count, first) = (word.unread.len(), &word.unread[0]);
+    let read = ParsedList::parse(line).map_err(io::Error::other)?;
+    let word = read.into_update(Source::Discovery, &platform.places, platform.courier.clock.now());
+    if !word.unreadable.is_empty() {
+        let (count, first) = (word.unreadable.len(), &word.unreadable[0]);
         tracing::warn!(target: "discovery", "{count} entries of the list can't be read, {first:?} first");
     }
     platform.courier.report(Report::List { front: FRONT, update: word });
     Ok(())
 }
 
-fn watch(platform: &Platform, again: &mut Again) -> Ended {
+fn watch(platform: &Platform, again: &mut SilenceRetry) -> Ended {
     let Err(ended) = watched(platform, again);
     if matches!(ended, Ended::NotOffered) {
         again.heard();
@@ -129,7 +132,7 @@
     ended
 }
 
-fn watched(platform: &Platform, again: &mut Again) -> Result<std::convert::Infallible, Ended> {
+fn watched(platform: &Platform, again: &mut SilenceRetry) -> Result<std::convert::Infallible, Ended> {
     let clock = &platform.courier.clock;
     let (stream, mut silence) =
         open(platform, &format!("?watch=1&after={}", platform.courier.list_version(FRONT)))?;
@@ -137,7 +140,7 @@
     let mut lines = Lines::default();
     let mut told = false;
     loop {
-        let late = clock.now() >= silence.until();
+        let late = clock.now() >= silence.expires_at();
         match take_in(platform, &stream, &mut buf, &mut silence, &mut lines)? {
             Err(_) if matches!(lines.status, 400 | 404 | 405 | 501) => return Err(Ended::NotOffered),
             Err(what) => return Err(io::Error::other(what).into()),
@@ -147,7 +150,7 @@
         let mut word = false;
         while let Some(line) = lines.next_line() {
             word = true;
-            silence.word(clock.now());
+            silence.line_received(clock.now());
             if !told {
                 told = true;
                 again.heard();
@@ -179,14 +182,14 @@
 
 /// Reads the whole list again and again, for as long as all goes well and until it is time to ask for a watch again.
 /// Each courier's pauses have a jitter of their own.
-fn poll(platform: &Platform, orders: &Receiver<()>, again: &mut Again) -> io::Result<()> {
+fn poll(platform: &Platform, orders: &Receiver<()>, again: &mut SilenceRetry) -> io::Result<()> {
     let addr = platform.site.addr();
     tracing::info!(target: "discovery", "{addr} offers no watch: its list is read every {} s", platform.poll.secs());
     for _ in 0..READS_BETWEEN {
         // Danger: by way of a watch that is not offered, the list would be a call and an answer later.
         while let Err(e) = read_whole(platform) {
             let own = platform.site.alone() && !platform.names.pushed && errors::timed_out(&e);
-            let Some(span) = again.after(errors::timed_out(&e)).filter(|_| own) else { return Err(e) };
+            let Some(span) = again.retry_within(errors::timed_out(&e)).filter(|_| own) else { return Err(e) };
             tracing::warn!(target: "discovery", "the list at {addr} was not told: {e}");
             rest(orders, platform.site.within(span));
         }
@@ -208,7 +211,7 @@
     let mut buf = platform.pool.get();
     let mut lines = Lines::default();
     while !lines.ended {
-        let late = clock.now() >= silence.until();
+        let late = clock.now() >= silence.expires_at();
         match take_in(platform, &stream, &mut buf, &mut silence, &mut lines)?.map_err(io::Error::other)? {
             0 => lines.close().map_err(io::Error::other)?,
             _ if late && !lines.ended => return Err(ErrorKind::TimedOut.into()),
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -20,8 +20,8 @@
 use crate::api::Micros;
 use crate::config::Bounds;
 use crate::core::Courier;
-use crate::register::list::Places;
-use crate::register::seek::Seek;
+use crate::register::address_rotation::AddressRotation;
+use crate::register::list::KindAndZoneNames;
 use crate::settings::Names;
 use crossbeam_channel::{bounded, unbounded};
 use site::Site;
@@ -53,7 +53,7 @@
     /// Names on the sockets.
     pub names: Names,
     /// Names in lists.
-    pub places: Places,
+    pub places: KindAndZoneNames,
     /// Some kind of destination takes several messages in a call.
     pub batches: bool,
     /// How often the whole list is read where there is no watch.
@@ -72,8 +72,8 @@
 
 /// Starts the front's threads, all but the listener's.
 pub fn start(
-    courier: &Arc<Courier>, bounds: Bounds, names: Names, slots: usize, discovery: Seek, poll: Micros,
-    admission: &Wishes,
+    courier: &Arc<Courier>, bounds: Bounds, names: Names, slots: usize, discovery: AddressRotation,
+    poll: Micros, admission: &Wishes,
 ) -> io::Result<(Arc<Platform>, Front)> {
     let keep = Duration::from_secs_f64(names.conn_idle.secs() * KEEP_SHARE);
     let idle = bounds.sockets / 8;
--- a/src/net/platform/site.rs
+++ b/src/net/platform/site.rs
@@ -3,7 +3,7 @@
 
 use crate::api::Micros;
 use crate::net::lobby::Door;
-use crate::register::seek::Seek;
+use crate::register::address_rotation::AddressRotation;
 use crossbeam_channel::Sender;
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -20,7 +20,7 @@
 }
 
 struct At {
-    seek: Seek,
+    seek: AddressRotation,
     open: Vec<Weak<TcpStream>>,
 }
 
@@ -37,7 +37,7 @@
 
 impl Site {
     /// At the first of its addresses, until it moves or fails; a move asks for a watch.
-    pub fn new(seek: Seek, watch: Sender<()>, door: Door) -> Site {
+    pub fn new(seek: AddressRotation, watch: Sender<()>, door: Door) -> Site {
         Site { at: Mutex::new(At { seek, open: Vec::new() }), watch, door }
     }
 
@@ -47,7 +47,7 @@
 
     /// The address now.
     pub fn addr(&self) -> SocketAddr {
-        self.at().seek.addr()
+        self.at().seek.current()
     }
 
     /// Connects before the deadline, to wherever it is by then.
@@ -57,7 +57,7 @@
             let stream = self.door.connect(addr, until).map(Arc::new);
             let mut at = self.at();
             // Danger: a connection that came up while discovery moved would be missed by the move.
-            if at.seek.addr() == addr {
+            if at.seek.current() == addr {
                 let stream = stream?;
                 at.open.retain(|open| open.strong_count() > 0);
                 at.open.push(Arc::downgrade(&stream));
@@ -73,28 +73,28 @@
 
     /// Any moment within this span.
     pub fn within(&self, span: Micros) -> Micros {
-        self.at().seek.within(span)
+        self.at().seek.random_within(span)
     }
 
     /// There is no other address to ask.
     pub fn alone(&self) -> bool {
-        self.at().seek.alone()
+        self.at().seek.is_only_address()
     }
 
     /// The present address has spoken.
     pub fn answered(&self) {
-        self.at().seek.answered();
+        self.at().seek.record_success();
     }
 
     /// This address failed: the pause before the next one; `None`: all have had their turn, or it has been left already
     /// and the present one can be asked at once.
     pub fn failed(&self, addr: SocketAddr) -> Option<Micros> {
         let mut at = self.at();
-        if at.seek.addr() != addr {
+        if at.seek.current() != addr {
             return Some(Micros(0));
         }
-        let pause = at.seek.failed();
-        if at.seek.addr() != addr {
+        let pause = at.seek.record_failure();
+        if at.seek.current() != addr {
             at.cut();
         }
         pause
@@ -103,8 +103,8 @@
     /// From now on it is there, whatever other addresses there are.
     pub fn move_to(&self, addr: SocketAddr) {
         let mut at = self.at();
-        let from = at.seek.addr();
-        if !at.seek.moved(addr) {
+        let from = at.seek.current();
+        if !at.seek.set_configured(addr) {
             return;
         }
         tracing::info!(target: "discovery", "discovery moves from {from} to {addr}");
--- a/src/register/mod.rs
+++ b/src/register/mod.rs
@@ -1,89 +1,100 @@
-//! The register: which backends there are, by everything that the courier has been told. No I/O, no clock, no
-//! threads: words of its sources, ends of calls and time come in as events; lines for the decision module come out.
+//! The endpoint registry: which endpoints exist, according to every source that the courier has. No I/O, no clock, no
+//! threads: updates from sources, the ends of calls and the time come in as events; endpoint records for the decision
+//! module come out.
 //!
-//! Each front has a [`Book`] of its own, with up to five [`Source`]s. `docs/design/register.md` has the table of who
-//! wins; in short: an explicit `removed` or `draining` of the watch or of the operators' static file binds whatever
-//! else is known; else the first source that names a backend speaks for it; what is only remembered (the kept copy,
-//! the list of the configuration) serves until the watch has spoken; and an address belongs to whom the better source
-//! says it does.
+//! Each front has a [`FrontRegistry`] with up to five [`Source`]s. `docs/design/register.md` has the full precedence
+//! table. In short: an explicit `removed` or `draining` from discovery or from the operators' static file overrides
+//! everything else; otherwise the first source that lists an endpoint decides its record; remembered lists (the kept
+//! copy, the list in the configuration) are used only until discovery has sent an update; and an address that two
+//! sources give to different endpoints belongs to the endpoint that the preferred source names.
 //!
-//! How far a remembered backend is trusted is in [`trust`]; which lists are not believed at once, in [`guard`]; what
-//! the courier may do as a whole, in [`phase`].
+//! [`trust`] limits the calls to a remembered endpoint, [`guard`] holds back list updates that would remove too many
+//! endpoints, and [`phase`] summarises what the registry is based on.
 
-mod book;
-pub mod clock;
+pub mod address_rotation;
+mod calls;
 pub mod config;
-pub mod fixed;
+pub mod discovery_timing;
+pub mod exclusions;
+mod front;
 pub mod guard;
-pub mod hand;
-mod hear;
-pub mod kept;
+pub mod kept_copy;
 pub mod list;
 pub mod phase;
-mod said;
-pub mod seek;
-mod settle;
+mod resolve;
+mod source_state;
+pub mod static_file;
 pub mod trust;
-mod turns;
-mod words;
+mod types;
+mod updates;
 
-pub use book::{Book, Row};
-pub use words::{Change, ListLine, ListState, News, Rules, Source, Word};
+pub use front::{EndpointRow, FrontRegistry};
+pub use types::{
+    EndpointChange, EndpointRecord, EndpointState, ListUpdate, RegistryEffects, RegistryRules, Source,
+};
 
 use crate::api::Micros;
-use hand::Out;
-use kept::Edition;
+use exclusions::ExcludedEndpoints;
+use kept_copy::ListSnapshot;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The books of all fronts.
-pub struct Register {
-    books: BTreeMap<u8, Book>,
-    out: Arc<Out>,
-    rules: Rules,
+/// The endpoint registries of all fronts.
+pub struct Registry {
+    fronts: BTreeMap<u8, FrontRegistry>,
+    excluded: Arc<ExcludedEndpoints>,
+    rules: RegistryRules,
     seed: u64,
 }
 
-impl Register {
-    /// An empty register. `seed` is for the jitter of its pauses.
-    pub fn new(rules: Rules, seed: u64) -> Register {
-        Register { books: BTreeMap::new(), out: Arc::default(), rules, seed }
+impl Registry {
+    /// Creates an empty registry. `seed` drives the jitter of its pauses.
+    pub fn new(rules: RegistryRules, seed: u64) -> Registry {
+        Registry { fronts: BTreeMap::new(), excluded: Arc::default(), rules, seed }
     }
 
-    /// The book of a front, begun if there is none.
-    pub fn book(&mut self, front: u8, now: Micros) -> &mut Book {
+    /// Returns the registry of a front, and creates it if there is none.
+    pub fn front_mut(&mut self, front: u8, now: Micros) -> &mut FrontRegistry {
         let (rules, seed) = (&self.rules, self.seed ^ u64::from(front));
-        let out = &self.out;
-        self.books
-            .entry(front)
-            .or_insert_with(|| Book { out: out.clone(), ..Book::new(rules.clone(), seed, now) })
+        let excluded = &self.excluded;
+        self.fronts.entry(front).or_insert_with(|| FrontRegistry {
+            excluded: excluded.clone(),
+            ..FrontRegistry::new(rules.clone(), seed, now)
+        })
     }
 
-    /// The book of a front, if it has one.
-    pub fn get(&self, front: u8) -> Option<&Book> {
-        self.books.get(&front)
+    /// Returns the registry of a front, if it has one.
+    pub fn front(&self, front: u8) -> Option<&FrontRegistry> {
+        self.fronts.get(&front)
     }
 
-    /// From now on these are left out by hand, in all books; says by front who was put back.
-    pub fn left_out(&mut self, now: Micros, out: Arc<Out>) -> Vec<(u8, Vec<String>, News)> {
-        self.out = out.clone();
-        let told = self.books.iter_mut().map(|(front, book)| (*front, book.left_out(now, &out)));
-        told.map(|(front, (back, news))| (front, back, news)).collect()
+    /// Replaces the set of administratively excluded endpoints in all fronts. Returns, for each front, the names of the
+    /// listed endpoints that are no longer excluded, and the effects.
+    pub fn set_excluded(
+        &mut self, now: Micros, excluded: Arc<ExcludedEndpoints>,
+    ) -> Vec<(u8, Vec<String>, RegistryEffects)> {
+        self.excluded = excluded.clone();
+        let results =
+            self.fronts.iter_mut().map(|(front, registry)| (*front, registry.set_excluded(now, &excluded)));
+        results.map(|(front, (restored, effects))| (front, restored, effects)).collect()
     }
 
-    /// What discovery has told each front in this life.
-    pub fn editions(&self) -> Vec<(u8, Edition)> {
-        self.books.iter().filter_map(|(front, book)| Some((*front, book.to_keep()?))).collect()
+    /// Returns the list of each front to which discovery has sent an update in this process run.
+    pub fn snapshots(&self) -> Vec<(u8, ListSnapshot)> {
+        self.fronts.iter().filter_map(|(front, registry)| Some((*front, registry.snapshot()?))).collect()
     }
 
-    /// Endpoints in the lists of all fronts, as [`Book::members`].
+    /// Returns the listed endpoints of all fronts, as [`FrontRegistry::members`] does for one.
     pub fn members(&self) -> impl Iterator<Item = (u8, &str, bool)> {
-        self.books.iter().flat_map(|(front, book)| book.members().map(|(name, out)| (*front, name, out)))
+        self.fronts.iter().flat_map(|(front, registry)| {
+            registry.members().map(|(name, unavailable)| (*front, name, unavailable))
+        })
     }
 
-    /// Moves time in all books.
-    pub fn tick(&mut self, now: Micros) -> Vec<(u8, News)> {
-        let due = self.books.iter_mut().filter(|(_, b)| b.next_at().is_some_and(|at| at <= now));
-        due.map(|(front, book)| (*front, book.tick(now))).collect()
+    /// Fires the timers that are due in any front.
+    pub fn tick(&mut self, now: Micros) -> Vec<(u8, RegistryEffects)> {
+        let due =
+            self.fronts.iter_mut().filter(|(_, registry)| registry.next_at().is_some_and(|at| at <= now));
+        due.map(|(front, registry)| (*front, registry.tick(now))).collect()
     }
 }
--- a/src/register/phase.rs
+++ b/src/register/phase.rs
@@ -1,57 +1,59 @@
-//! What the courier may do as a whole, by what its register rests on.
+//! The phase of the registry: what its endpoint list is based on.
 //!
-//! | phase | rests on | ready | takes on | sends |
+//! | phase | based on | reports ready | accepts messages | sends |
 //! | --- | --- | --- | --- | --- |
-//! | cold | nothing | after `cold_ready` | nothing: refused at once, with a wait | nothing |
-//! | from copy | memory or the static file | at once | for destinations that it names | after the hold, cautiously |
-//! | provisional | discovery, and what it would end but is not believed to | yes | yes | yes; what is held, cautiously |
-//! | live | discovery, now | yes | yes; a destination that it never named fails | yes |
-//! | stale | discovery, as it was | yes | as live | to what has answered in this life as ever, else cautiously |
+//! | cold | nothing | after `cold_ready_after` | no: refused at once, with a wait | nothing |
+//! | from copy | a remembered list or the static file | at once | for the destinations that these list | after the wait for discovery, with limits |
+//! | provisional | discovery, and endpoints held against an unconfirmed list | yes | yes | yes; to held endpoints with limits |
+//! | live | discovery, up to date | yes | yes; a destination that was never listed fails | yes |
+//! | stale | the last list of discovery | yes | as live | without limits to endpoints that have answered in this process run, else with limits |
 //!
-//! Taking on and sending follow from the lines themselves; the phase is what operators see and what `ready` goes by.
+//! What is accepted and sent follows from the endpoint records themselves. The phase is for operators and for the
+//! readiness check.
 
 use crate::api::Micros;
 
-/// A phase of the register.
+/// A phase of the registry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Nothing is known.
+    /// No endpoints are known.
     Cold,
-    /// Only what was kept from before, or the operators' file.
+    /// Only a remembered list or the operators' static file is known.
     FromCopy,
-    /// Discovery speaks, but some of what it says is not believed yet.
+    /// Discovery is heard, but a list of it is not confirmed yet.
     Provisional,
-    /// Discovery speaks.
+    /// Discovery is heard.
     Live,
-    /// Discovery has spoken and is silent.
+    /// Discovery was heard and has gone silent.
     Stale,
 }
 
-/// What the phase follows from.
+/// What the phase is derived from.
 #[derive(Debug, Clone, Copy)]
-pub struct Facts {
-    /// Discovery has spoken in this life.
-    pub discovery_spoke: bool,
+pub struct PhaseInputs {
+    /// Discovery has sent an update in this process run.
+    pub discovery_heard: bool,
     /// Its watch is open.
     pub watching: bool,
-    /// Since when it says nothing, heartbeats counted.
+    /// Time since its last update or heartbeat.
     pub silent_for: Micros,
-    /// Something is held against what it said.
-    pub doubted: bool,
-    /// A zone of our own speaks; it is always there.
-    pub zone: bool,
-    /// There is something usable to start from.
-    pub remembered: bool,
+    /// Endpoints are held against an unconfirmed list.
+    pub holds_endpoints: bool,
+    /// A zone of the mail front has been loaded; such a zone is always available.
+    pub zone_loaded: bool,
+    /// There are endpoints from a usable remembered list or from the static file.
+    pub has_fallback: bool,
 }
 
 impl Phase {
-    /// The phase by the facts. A watch that breaks is opened again within moments; only a longer silence is stale.
-    pub fn of(facts: &Facts, stale_after: Micros) -> Phase {
-        match facts {
-            f if f.discovery_spoke && !f.watching && f.silent_for > stale_after => Phase::Stale,
-            f if f.discovery_spoke && f.doubted => Phase::Provisional,
-            f if f.discovery_spoke || f.zone => Phase::Live,
-            f if f.remembered => Phase::FromCopy,
+    /// Derives the phase. A watch that breaks is usually reopened within moments, so only a longer silence counts as
+    /// stale.
+    pub fn of(inputs: &PhaseInputs, stale_after: Micros) -> Phase {
+        match inputs {
+            i if i.discovery_heard && !i.watching && i.silent_for > stale_after => Phase::Stale,
+            i if i.discovery_heard && i.holds_endpoints => Phase::Provisional,
+            i if i.discovery_heard || i.zone_loaded => Phase::Live,
+            i if i.has_fallback => Phase::FromCopy,
             _ => Phase::Cold,
         }
     }
--- a/src/register/trust.rs
+++ b/src/register/trust.rs
@@ -1,110 +1,113 @@
-//! How far a backend is trusted that is known from memory, or from a watch that has gone silent.
+//! Limits on the calls to an endpoint that is known only from a remembered list, or from a watch that has gone silent.
 //!
-//! So many calls at once as its word is fresh: `start`, halved with each `halving` of the word's age, one at least.
-//! Each call that is answered doubles what it has earned in this life, and from [`FULL`] on nothing is bounded here.
-//! Calls beyond that wait for their turn, in order, for [`WAIT_MOST`] at most.
+//! The limit on concurrent calls falls with the age of the list: `initial_calls`, halved once per `half_life`, and at
+//! least 1. Each answered call doubles what the endpoint has earned in this process run, and from [`UNLIMITED_FROM`] on
+//! there is no limit. Calls beyond the limit are queued in order, for at most [`MAX_QUEUE_TIME`].
 //!
-//! A refused connection of one that has earned nothing yet is masked: the module hears that nothing was sent, the
-//! backend is benched for a pause that doubles, and its siblings are not taken for out. Danger: a list of last week
-//! names machines that are long gone, and the module takes a refused connection for an outage of the destination.
+//! If a limited endpoint that has earned nothing yet refuses a connection, the decision module is notified that the
+//! call was never sent, and only this endpoint is ejected, for a pause that doubles each time. A list of last week names
+//! machines that no longer exist, and the module takes a refused connection for an outage of the whole destination.
 
 use crate::api::Micros;
 use rand_core::RngCore;
 use rand_pcg::Pcg64Mcg;
 use std::collections::VecDeque;
 
-/// Calls at once from which a backend is as good as listed.
-pub const FULL: u32 = 64;
-/// How long a call waits for its turn before the module gets it back.
-pub const WAIT_MOST: Micros = Micros(2_000_000);
+/// Number of concurrent calls from which an endpoint is not limited any more.
+pub const UNLIMITED_FROM: u32 = 64;
+/// How long a call is queued before it is rejected back to the decision module.
+pub const MAX_QUEUE_TIME: Micros = Micros(2_000_000);
+/// Bound on the exponent of the ejection pause.
+const MAX_EJECTION_DOUBLINGS: u32 = 16;
 
-/// Figures of the trust.
+/// Parameters of the limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrustRules {
-    /// Calls at once to a backend whose word is fresh and that has not been called yet.
-    pub start: u32,
-    /// Age of the word that halves it.
-    pub halving: Micros,
-    /// First pause after a refused connection; it doubles, jittered by a quarter, up to the second.
-    pub bench: Micros,
-    /// The longest such pause.
-    pub bench_most: Micros,
+    /// Concurrent calls to an endpoint from a fresh list that has not been called yet.
+    pub initial_calls: u32,
+    /// Age of the list that halves this limit.
+    pub half_life: Micros,
+    /// First ejection after a refused connection. It doubles with each refusal, with a jitter of a quarter either way.
+    pub first_ejection: Micros,
+    /// Longest ejection, before jitter.
+    pub max_ejection: Micros,
 }
 
 impl Default for TrustRules {
     fn default() -> TrustRules {
         TrustRules {
-            start: 16,
-            halving: Micros(60_000_000),
-            bench: Micros(500_000),
-            bench_most: Micros(30_000_000),
+            initial_calls: 16,
+            half_life: Micros(60_000_000),
+            first_ejection: Micros(500_000),
+            max_ejection: Micros(30_000_000),
         }
     }
 }
 
 impl TrustRules {
-    /// Calls at once by the age of the word and what was earned since; `None`: unbounded.
-    pub fn allowed(&self, age: Micros, earned: u32) -> Option<u32> {
-        let halvings = age.0 / self.halving.0.max(1);
-        let fresh = if halvings < 32 { self.start >> halvings } else { 0 };
-        let allowed = fresh.max(earned).max(1);
-        (allowed < FULL).then_some(allowed)
+    /// Concurrent calls by the age of the list and what was earned since; `None`: no limit.
+    pub fn concurrency_limit(&self, list_age: Micros, earned: u32) -> Option<u32> {
+        let halvings = list_age.0 / self.half_life.0.max(1);
+        let by_age = if halvings < 32 { self.initial_calls >> halvings } else { 0 };
+        let limit = by_age.max(earned).max(1);
+        (limit < UNLIMITED_FROM).then_some(limit)
     }
 }
 
-/// How a call ended, for the trust in its backend.
+/// How a call ended, as far as it says something about the endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallEnd {
-    /// Something answered, whatever it said.
+    /// The endpoint answered, with any status.
     Answered,
-    /// No connection.
+    /// No connection could be opened.
     Refused,
-    /// Nothing was heard, or what was can't be trusted.
+    /// No answer, or one that is not usable.
     Lost,
-    /// It was never sent.
+    /// The call was never sent.
     Unsent,
 }
 
-/// What the module is to hear of a refused connection.
+/// How the end of a call is reported to the decision module.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
-    /// What happened.
-    Plain,
-    /// That nothing was sent.
-    Masked,
+pub enum CallReport {
+    /// As it was.
+    AsIs,
+    /// As if the call had never been sent.
+    AsUnsent,
 }
 
-/// One backend.
+/// Limit, ejection and queue of one endpoint.
 #[derive(Debug, Default)]
-pub struct Trust {
-    out: u32,
+pub struct EndpointTrust {
+    in_flight: u32,
     earned: u32,
     failing: bool,
     refusals: u32,
-    benched_until: Micros,
-    waiting: VecDeque<(Micros, u64)>,
+    ejected_until: Micros,
+    /// Messages whose calls wait for admission, each with the time at which it is rejected.
+    queue: VecDeque<(Micros, u64)>,
 }
 
-impl Trust {
-    /// A call is ordered; `false`: it waits for its turn.
-    pub fn call(&mut self, now: Micros, msg: u64, allowed: Option<u32>) -> bool {
-        if self.waiting.is_empty() && allowed.is_none_or(|most| self.out < most) {
-            self.out += 1;
+impl EndpointTrust {
+    /// Admits a call, or queues it and returns `false`.
+    pub fn admit(&mut self, now: Micros, msg: u64, limit: Option<u32>) -> bool {
+        if self.queue.is_empty() && limit.is_none_or(|limit| self.in_flight < limit) {
+            self.in_flight += 1;
             return true;
         }
-        self.waiting.push_back((now + WAIT_MOST, msg));
+        self.queue.push_back((now + MAX_QUEUE_TIME, msg));
         false
     }
 
-    /// A call that went is over.
-    pub fn over(
-        &mut self, now: Micros, end: CallEnd, gated: bool, rules: &TrustRules, rng: &mut Pcg64Mcg,
-    ) -> Heard {
-        self.out = self.out.saturating_sub(1);
+    /// Records the end of an admitted call. `limited`: the registry limits the calls to this endpoint.
+    pub fn record_end(
+        &mut self, now: Micros, end: CallEnd, limited: bool, rules: &TrustRules, rng: &mut Pcg64Mcg,
+    ) -> CallReport {
+        self.in_flight = self.in_flight.saturating_sub(1);
         match end {
             CallEnd::Answered => {
-                self.earned = (self.earned * 2).clamp(2, FULL);
-                (self.failing, self.refusals, self.benched_until) = (false, 0, Micros(0));
+                self.earned = (self.earned * 2).clamp(2, UNLIMITED_FROM);
+                (self.failing, self.refusals, self.ejected_until) = (false, 0, Micros(0));
             }
             CallEnd::Lost => {
                 self.failing = true;
@@ -114,75 +117,79 @@
                 self.failing = true;
                 let unproven = self.earned == 0;
                 self.earned = 0;
-                if gated && unproven {
-                    let pause =
-                        rules.bench.scale(2f64.powi(self.refusals.min(16) as i32)).min(rules.bench_most);
-                    let part = f64::from(rng.next_u32()) / f64::from(u32::MAX);
-                    self.benched_until = now + pause.scale(0.75 + 0.5 * part);
-                    self.refusals += 1;
-                    return Heard::Masked;
+                if limited && unproven {
+                    self.eject(now, rules, rng);
+                    return CallReport::AsUnsent;
                 }
             }
             CallEnd::Unsent => {}
         }
-        Heard::Plain
+        CallReport::AsIs
     }
 
-    /// Until when it gets nothing, if so.
-    pub fn bench(&self, now: Micros) -> Option<Micros> {
-        Some(self.benched_until).filter(|until| *until > now)
+    fn eject(&mut self, now: Micros, rules: &TrustRules, rng: &mut Pcg64Mcg) {
+        let doublings = self.refusals.min(MAX_EJECTION_DOUBLINGS) as i32;
+        let pause = rules.first_ejection.scale(2f64.powi(doublings)).min(rules.max_ejection);
+        let jitter = f64::from(rng.next_u32()) / f64::from(u32::MAX);
+        self.ejected_until = now + pause.scale(0.75 + 0.5 * jitter);
+        self.refusals += 1;
     }
 
-    /// Its last call failed on the way.
+    /// Until when the endpoint is ejected, if it is.
+    pub fn ejection(&self, now: Micros) -> Option<Micros> {
+        Some(self.ejected_until).filter(|until| *until > now)
+    }
+
+    /// Whether its last completed call was refused or lost.
     pub fn failing(&self) -> bool {
         self.failing
     }
 
-    /// Calls at once that its answers have earned it.
+    /// Concurrent calls that its answers have earned it.
     pub fn earned(&self) -> u32 {
         self.earned
     }
 
-    /// A call waits for its turn.
-    pub fn waits(&self) -> bool {
-        !self.waiting.is_empty()
+    /// Whether a call is queued.
+    pub fn has_queued_calls(&self) -> bool {
+        !self.queue.is_empty()
     }
 
-    /// Nothing is out or waits.
+    /// Whether no call is in flight or queued.
     pub fn idle(&self) -> bool {
-        self.out == 0 && self.waiting.is_empty()
+        self.in_flight == 0 && self.queue.is_empty()
     }
 
-    /// The next ones in line, as many as are allowed now.
-    pub fn release(&mut self, allowed: Option<u32>) -> Vec<u64> {
+    /// Admits queued calls in order, as far as the limit allows.
+    pub fn release(&mut self, limit: Option<u32>) -> Vec<u64> {
         let mut released = Vec::new();
-        while allowed.is_none_or(|most| self.out < most) {
-            let Some((_, msg)) = self.waiting.pop_front() else { break };
-            self.out += 1;
+        while limit.is_none_or(|limit| self.in_flight < limit) {
+            let Some((_, msg)) = self.queue.pop_front() else { break };
+            self.in_flight += 1;
             released.push(msg);
         }
         released
     }
 
-    /// One in line is not wanted any more; `false`: it is not in line.
-    pub fn forget(&mut self, msg: u64) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|w| w.1 != msg);
-        self.waiting.len() < before
+    /// Takes a call out of the queue. `false`: it was not queued.
+    pub fn cancel(&mut self, msg: u64) -> bool {
+        let before = self.queue.len();
+        self.queue.retain(|queued| queued.1 != msg);
+        self.queue.len() < before
     }
 
-    /// Those who have waited for too long.
+    /// Takes out the calls that have been queued for too long.
     pub fn expire(&mut self, now: Micros) -> Vec<u64> {
-        let mut over = Vec::new();
-        while let Some((_, msg)) = self.waiting.pop_front_if(|w| w.0 <= now) {
-            over.push(msg);
+        let mut expired = Vec::new();
+        while let Some((_, msg)) = self.queue.pop_front_if(|queued| queued.0 <= now) {
+            expired.push(msg);
         }
-        over
+        expired
     }
 
-    /// All in line: there will be no turn.
-    pub fn drain(&mut self) -> Vec<u64> {
-        self.waiting.drain(..).map(|w| w.1).collect()
+    /// Takes out all queued calls.
+    pub fn drain_queue(&mut self) -> Vec<u64> {
+        self.queue.drain(..).map(|queued| queued.1).collect()
     }
 }
 
@@ -194,59 +201,61 @@
     const S: u64 = 1_000_000;
 
     #[test]
-    fn trust_halves_with_age_and_doubles_with_answers() {
+    fn the_limit_halves_with_age_and_doubles_with_answers() {
         let rules = TrustRules::default();
         let by_age = [(0, 16), (59, 16), (60, 8), (120, 4), (240, 1), (3600, 1), (1 << 40, 1)];
-        for (secs, allowed) in by_age {
-            assert_eq!(rules.allowed(Micros(secs * S), 0), Some(allowed), "{secs} s");
+        for (secs, limit) in by_age {
+            assert_eq!(rules.concurrency_limit(Micros(secs * S), 0), Some(limit), "{secs} s");
         }
         let mut rng = Pcg64Mcg::seed_from_u64(1);
-        let mut trust = Trust::default();
+        let mut trust = EndpointTrust::default();
         let old = Micros(3600 * S);
-        let mut most = Vec::new();
+        let mut limits = Vec::new();
         for round in 0..7 {
-            let allowed = rules.allowed(old, trust.earned());
-            most.push(allowed);
-            assert!(trust.call(Micros(0), round, allowed));
-            assert_eq!(trust.over(Micros(0), CallEnd::Answered, true, &rules, &mut rng), Heard::Plain);
+            let limit = rules.concurrency_limit(old, trust.earned());
+            limits.push(limit);
+            assert!(trust.admit(Micros(0), round, limit));
+            let report = trust.record_end(Micros(0), CallEnd::Answered, true, &rules, &mut rng);
+            assert_eq!(report, CallReport::AsIs);
         }
-        assert_eq!(most, [Some(1), Some(2), Some(4), Some(8), Some(16), Some(32), None]);
+        assert_eq!(limits, [Some(1), Some(2), Some(4), Some(8), Some(16), Some(32), None]);
     }
 
     #[test]
-    fn one_at_a_time_in_order_and_not_for_ever() {
-        let mut trust = Trust::default();
-        assert!(trust.call(Micros(0), 1, Some(1)));
-        assert!(!trust.call(Micros(0), 2, Some(1)));
-        assert!(!trust.call(Micros(5), 3, Some(1)));
-        assert!(!trust.call(Micros(5), 4, Some(8)), "nobody goes before those in line");
-        assert!(trust.forget(3) && !trust.forget(3));
+    fn queued_calls_are_released_in_order_and_expire() {
+        let mut trust = EndpointTrust::default();
+        assert!(trust.admit(Micros(0), 1, Some(1)));
+        assert!(!trust.admit(Micros(0), 2, Some(1)));
+        assert!(!trust.admit(Micros(5), 3, Some(1)));
+        assert!(!trust.admit(Micros(5), 4, Some(8)), "no call overtakes the queue");
+        assert!(trust.cancel(3) && !trust.cancel(3));
         assert!(trust.release(Some(1)).is_empty());
-        assert_eq!(trust.expire(WAIT_MOST), [2]);
+        assert_eq!(trust.expire(MAX_QUEUE_TIME), [2]);
         assert_eq!(trust.release(Some(2)), [4]);
     }
 
-    /// Guards against a machine that is long gone being asked at full speed, and against one pause for all.
+    /// Guards against calling a machine that no longer exists at full rate, and against pauses without jitter.
     #[test]
-    fn a_refusal_benches_for_longer_each_time() {
+    fn each_refusal_ejects_for_longer() {
         let rules = TrustRules::default();
         let mut rng = Pcg64Mcg::seed_from_u64(2);
-        let mut trust = Trust::default();
+        let mut trust = EndpointTrust::default();
         let mut pauses = Vec::new();
         for _ in 0..9 {
-            assert!(trust.call(Micros(0), 1, Some(1)));
-            assert_eq!(trust.over(Micros(0), CallEnd::Refused, true, &rules, &mut rng), Heard::Masked);
-            pauses.push(trust.bench(Micros(0)).unwrap().0 as f64 / 1e6);
+            assert!(trust.admit(Micros(0), 1, Some(1)));
+            let report = trust.record_end(Micros(0), CallEnd::Refused, true, &rules, &mut rng);
+            assert_eq!(report, CallReport::AsUnsent);
+            pauses.push(trust.ejection(Micros(0)).unwrap().0 as f64 / 1e6);
         }
         for (n, pause) in pauses.iter().enumerate() {
             let middle = (0.5 * 2f64.powi(n as i32)).min(30.0);
             assert!((middle * 0.75..=middle * 1.25).contains(pause), "{pauses:?}");
         }
-        trust.call(Micros(0), 1, Some(1));
-        trust.over(Micros(0), CallEnd::Answered, true, &rules, &mut rng);
-        assert_eq!(trust.bench(Micros(0)), None);
-        trust.call(Micros(0), 1, Some(1));
-        let heard = trust.over(Micros(0), CallEnd::Refused, true, &rules, &mut rng);
-        assert_eq!(heard, Heard::Plain, "one that has answered is for the module to judge");
+        trust.admit(Micros(0), 1, Some(1));
+        trust.record_end(Micros(0), CallEnd::Answered, true, &rules, &mut rng);
+        assert_eq!(trust.ejection(Micros(0)), None);
+        trust.admit(Micros(0), 1, Some(1));
+        let report = trust.record_end(Micros(0), CallEnd::Refused, true, &rules, &mut rng);
+        assert_eq!(report, CallReport::AsIs, "the module judges an endpoint that has answered");
     }
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::api::{
     Class, DiscoveryMode, Effect, Fade, Group, Kind, Limits, Micros, Rules, Settings, Tenant, Weights,
 };
-use crate::register::list::Places;
+use crate::register::list::KindAndZoneNames;
 use serde::Deserialize;
 
 /// The document as written, names included.
@@ -164,8 +164,8 @@
 
 impl Names {
     /// The names that lists of backends use.
-    pub fn places(&self) -> Places {
-        Places { kinds: self.kinds.clone(), zones: self.zones.clone() }
+    pub fn places(&self) -> KindAndZoneNames {
+        KindAndZoneNames { kinds: self.kinds.clone(), zones: self.zones.clone() }
     }
 }
 
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use indigohold::register::kept::{self, Kept};
-use indigohold::register::list::{List, Read};
+use indigohold::register::kept_copy::{self, KeptList};
+use indigohold::register::list::{DiscoveryList, ParsedList};
 use std::path::Path;
 use std::process::{Command, Output};
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -49,13 +49,14 @@
     serde_json::json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings(20_000)})
 }
 
-fn keep(folder: &Path, age_s: u64) -> List {
-    let read =
-        Read::from(scripted::list(41, &[scripted::up("s-1", ([127, 0, 0, 1], 7).into(), 3)]).as_bytes());
+fn keep(folder: &Path, age_s: u64) -> DiscoveryList {
+    let read = ParsedList::parse(
+        scripted::list(41, &[scripted::up("s-1", ([127, 0, 0, 1], 7).into(), 3)]).as_bytes(),
+    );
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_micros() as u64;
     let list = read.unwrap().list;
-    let copy = Kept { heard_ms: now / 1000 - age_s * 1000, list: list.clone() };
-    kept::write(&folder.join("state"), &kept::encode(&copy)).unwrap();
+    let copy = KeptList { confirmed_ms: now / 1000 - age_s * 1000, list: list.clone() };
+    kept_copy::write(&folder.join("state"), &kept_copy::encode(&copy)).unwrap();
     list
 }
 
@@ -146,7 +147,7 @@
     assert!(text(&out.stderr).contains("instances[0]: missing field"), "{out:?}");
     assert!(!folder.0.join("own.json").exists(), "a bad list replaces nothing");
     assert!(import(&[file.to_str().unwrap()]).status.success());
-    let own = || Read::from(&std::fs::read(folder.0.join("own.json")).unwrap()).unwrap().list;
+    let own = || ParsedList::parse(&std::fs::read(folder.0.join("own.json")).unwrap()).unwrap().list;
     assert_eq!(own(), list);
     let more = scripted::list(1, &[scripted::up("s-2", ([127, 0, 0, 1], 8).into(), 4)]);
     let more = folder.write("more.json", &more);
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -20,13 +20,13 @@
     Courier::new(settings, 1, clock, journal, Options::default())
 }
 
-fn line(name: &str, dest: u16, state: ListState) -> ListLine {
+fn line(name: &str, dest: u16, state: EndpointState) -> EndpointRecord {
     let addr: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    ListLine { name: name.into(), addr, dest, kind: 0, zone: 0, state, weight: 1.0, rank: 0 }
+    EndpointRecord { name: name.into(), addr, dest, kind: 0, zone: 0, state, weight: 1.0, rank: 0 }
 }
 
-fn list(courier: &Courier, front: u8, backends: Vec<ListLine>) {
-    let word = Word::whole(Source::Watch, 0, backends, courier.clock.now());
+fn list(courier: &Courier, front: u8, backends: Vec<EndpointRecord>) {
+    let word = ListUpdate::full(Source::Discovery, 0, backends, courier.clock.now());
     courier.report(Report::List { front, update: word });
 }
 
@@ -78,7 +78,7 @@
 fn a_fetch_waits_for_the_answer_of_its_req() {
     let home = tempdir().unwrap();
     let courier = courier(home.path());
-    list(&courier, 0, vec![line("a", 7, ListState::Up), line("b", 8, ListState::Up)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Up), line("b", 8, EndpointState::Up)]);
     let first = take(&courier, "first", 7, 0);
     let second = take(&courier, "second", 8, 0);
     courier.report(Report::Answered(second));
@@ -92,7 +92,7 @@
 fn a_withdrawn_req_is_not_sent_and_frees_its_slot() {
     let home = tempdir().unwrap();
     let courier = courier(home.path());
-    list(&courier, 0, vec![line("a", 7, ListState::Up)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Up)]);
     for n in 0..200 {
         let gone = take(&courier, &format!("gone-{n}"), 7, 2);
         courier.report(Report::Withdrawn(gone));
@@ -108,7 +108,7 @@
 fn who_goes_takes_no_other_s_message_with_it() {
     let home = tempdir().unwrap();
     let courier = courier(home.path());
-    list(&courier, 0, vec![line("a", 7, ListState::Up)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Up)]);
     let again = |class, body: &[u8]| {
         let same = req(&courier, "m", 0, 7, class);
         courier.report(Report::Req(Req { keep_id: Micros(0), body: body.into(), ..same }))
@@ -129,7 +129,7 @@
     let start = Micros(1_000 * S);
     let journal = Journal::at(Box::new(Memory::default()), 3_000_000, start).unwrap();
     let (mut core, orders) = Core::new(settings, 1, start, journal, Options::default());
-    let word = Word::whole(Source::Watch, 0, vec![line("a", 7, ListState::Up)], start);
+    let word = ListUpdate::full(Source::Discovery, 0, vec![line("a", 7, EndpointState::Up)], start);
     core.report(start, Report::List { front: 0, update: word });
     let ordered = |core: &mut Core, from: Micros| {
         (0..1_500).find_map(|n| {
@@ -176,11 +176,11 @@
     let home = tempdir().unwrap();
     let courier = courier(home.path());
     let ask = |front, dest| courier.report(Report::Req(req(&courier, "x", front, dest, 0)));
-    let backends = vec![line("a", 7, ListState::Up)];
-    let word = Word::whole(Source::Known, 0, backends, courier.clock.now());
+    let backends = vec![line("a", 7, EndpointState::Up)];
+    let word = ListUpdate::full(Source::Configured, 0, backends, courier.clock.now());
     courier.report(Report::List { front: 0, update: word });
     assert!(matches!(ask(0, 9), Answer::Refused(_)), "the list may be old");
-    list(&courier, 0, vec![line("a", 7, ListState::Up)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Up)]);
     assert_eq!(ask(0, 9), Answer::NoSuchDest);
     assert!(matches!(ask(1, 9), Answer::Refused(_)), "the other front has none");
 }
@@ -190,18 +190,18 @@
 fn lists_are_kept_apart_and_a_removed_backend_gets_nothing_new() {
     let home = tempdir().unwrap();
     let courier = courier(home.path());
-    list(&courier, 0, vec![line("a", 7, ListState::Up)]);
-    list(&courier, 1, vec![line("a", 8, ListState::Up), line("b", 9, ListState::Up)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Up)]);
+    list(&courier, 1, vec![line("a", 8, EndpointState::Up), line("b", 9, EndpointState::Up)]);
     let msg = take(&courier, "m", 7, 0);
     courier.report(Report::Answered(msg));
     let out = fetch(&courier);
-    list(&courier, 1, vec![line("b", 9, ListState::Up)]);
+    list(&courier, 1, vec![line("b", 9, EndpointState::Up)]);
     assert_eq!(
         courier.report(Report::Begin(out.clone())),
         Answer::MayBegin(true),
         "the other front's is gone"
     );
-    list(&courier, 0, vec![line("a", 7, ListState::Draining)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Draining)]);
     assert_eq!(courier.report(Report::Begin(out)), Answer::MayBegin(false));
 }
 
@@ -210,7 +210,7 @@
     let home = tempdir().unwrap();
     let dir = home.path().to_owned();
     let courier = courier(&dir);
-    list(&courier, 0, vec![line("a", 7, ListState::Up)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Up)]);
     let msg = take(&courier, "m", 7, 1);
     courier.report(Report::Answered(msg));
     let out = fetch(&courier);
@@ -228,7 +228,7 @@
     let home = tempdir().unwrap();
     let dir = home.path().to_owned();
     let before = courier(&dir);
-    list(&before, 0, vec![line("a", 7, ListState::Up)]);
+    list(&before, 0, vec![line("a", 7, EndpointState::Up)]);
     let (once, safe) = (take(&before, "once", 7, 2), take(&before, "safe", 7, 0));
     for msg in [once, safe] {
         before.report(Report::Answered(msg));
@@ -241,7 +241,7 @@
         Order::Notice(notice) => assert_eq!((notice.msg, notice.verdict), (once, Verdict::GivenUp)),
         other => panic!("{other:?}"),
     }
-    list(&after, 0, vec![line("a", 7, ListState::Up)]);
+    list(&after, 0, vec![line("a", 7, EndpointState::Up)]);
     let again = fetch(&after);
     assert_eq!((again.msg, again.attempt), (safe, 1));
     // Until it is told, the end is owed, also in the life after.
@@ -261,7 +261,7 @@
 fn a_rejected_message_ends_once_and_may_come_again() {
     let home = tempdir().unwrap();
     let courier = courier(home.path());
-    list(&courier, 0, vec![line("a", 7, ListState::Up)]);
+    list(&courier, 0, vec![line("a", 7, EndpointState::Up)]);
     let msg = take(&courier, "m", 7, 2);
     courier.report(Report::Answered(msg));
     let out = fetch(&courier);
@@ -289,7 +289,7 @@
     let dir = home.path().to_owned();
     let courier = courier(&dir);
     for n in 0..5_000 {
-        list(&courier, 0, vec![line(&format!("s-{n}"), 3, ListState::Up)]);
+        list(&courier, 0, vec![line(&format!("s-{n}"), 3, EndpointState::Up)]);
     }
     assert!(courier.backends() < 600, "{}", courier.backends());
     // What is listed still serves.
@@ -306,13 +306,16 @@
     let dir = home.path().to_owned();
     let courier = courier(&dir);
     let kept = |names: &[&str]| {
-        let lines = names.iter().map(|n| line(n, 3, ListState::Up)).collect();
-        Report::List { front: 0, update: Word::whole(Source::Known, 0, lines, Clock::start().now()) }
+        let lines = names.iter().map(|n| line(n, 3, EndpointState::Up)).collect();
+        Report::List {
+            front: 0,
+            update: ListUpdate::full(Source::Configured, 0, lines, Clock::start().now()),
+        }
     };
     courier.report(kept(&["gone"]));
     let first = take(&courier, "m1", 3, 0);
     courier.report(Report::Answered(first));
-    list(&courier, 0, vec![line("new", 3, ListState::Up)]);
+    list(&courier, 0, vec![line("new", 3, EndpointState::Up)]);
     let sent = fetch(&courier);
     assert_eq!((sent.msg, sent.backend.name.as_str()), (first, "new"));
     done(&courier, &sent, End::Delivered);
@@ -336,7 +339,8 @@
     const ROUNDS: usize = 60;
     let home = tempdir().unwrap();
     let courier = courier(home.path());
-    let backends: Vec<ListLine> = (0..8).map(|n| line(&format!("b{n}"), n, ListState::Up)).collect();
+    let backends: Vec<EndpointRecord> =
+        (0..8).map(|n| line(&format!("b{n}"), n, EndpointState::Up)).collect();
     list(&courier, 0, backends);
     for round in 0..ROUNDS {
         let mut fetches = Vec::new();
--- a/tests/measure_history.rs
+++ b/tests/measure_history.rs
@@ -76,9 +76,12 @@
         })
     });
     let addr: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let (name, state) = ("a".to_owned(), ListState::Up);
-    let line = ListLine { name, addr, dest: 7, kind: 0, zone: 0, state, weight: 1e6, rank: 0 };
-    courier.report(Report::List { front: 0, update: Word::whole(Source::Watch, 0, vec![line], clock.now()) });
+    let (name, state) = ("a".to_owned(), EndpointState::Up);
+    let line = EndpointRecord { name, addr, dest: 7, kind: 0, zone: 0, state, weight: 1e6, rank: 0 };
+    courier.report(Report::List {
+        front: 0,
+        update: ListUpdate::full(Source::Discovery, 0, vec![line], clock.now()),
+    });
     let me = std::path::Path::new("/proc/thread-self");
     let (begin, mine, all) = (Instant::now(), spent(me), spent_by_all());
     for round in 0..many / together {
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -87,14 +87,14 @@
     let journal = Journal::open(&folder.0.join("state"), 3_000_000, now).unwrap();
     let (core, orders) = Core::new(settings, 1, now, journal, Options::default());
     let mut world = World { core, orders, now, _folder: folder };
-    world.list(names, ListState::Up);
+    world.list(names, EndpointState::Up);
     world
 }
 
 impl World {
-    fn list(&mut self, names: &[(&str, u16)], state: ListState) {
+    fn list(&mut self, names: &[(&str, u16)], state: EndpointState) {
         let addr = "127.0.0.1:9".parse().unwrap();
-        let line = |(name, dest): &(&str, u16)| ListLine {
+        let line = |(name, dest): &(&str, u16)| EndpointRecord {
             name: (*name).into(),
             addr,
             dest: *dest,
@@ -104,7 +104,7 @@
             weight: 1.0,
             rank: 0,
         };
-        let word = Word::whole(Source::Watch, 1, names.iter().map(line).collect(), self.now);
+        let word = ListUpdate::full(Source::Discovery, 1, names.iter().map(line).collect(), self.now);
         self.core.report(self.now, Report::List { front: 0, update: word });
     }
 
@@ -203,9 +203,9 @@
     world.core.probed(world.now, &first, Outcome::Moot, Micros(0), Vec::new());
     assert!(!world.core.may_probe(world.now, &first), "it is over");
     let second = world.probe();
-    world.list(&[("s-1", 7)], ListState::Draining);
+    world.list(&[("s-1", 7)], EndpointState::Draining);
     assert!(!world.core.may_probe(world.now, &second), "it drains");
-    world.list(&[("s-1", 7)], ListState::Up);
+    world.list(&[("s-1", 7)], EndpointState::Up);
     let wait = Some(Micros(2 * common::S));
     world.core.probed(world.now, &second, Outcome::Full(wait), Micros(0), Vec::new());
     assert!(world.next(1_900).is_none(), "a wait told to a probe binds what is ordered");
--- a/tests/recording.rs
+++ b/tests/recording.rs
@@ -28,17 +28,20 @@
     let journal = Journal::at(Box::new(home.clone()), DISK, now).unwrap();
     let (mut core, orders) = Core::new(settings, 1, now, journal, Options::default());
     let addr = "127.0.0.1:9".parse().unwrap();
-    let line = ListLine {
+    let line = EndpointRecord {
         name: "a".into(),
         addr,
         dest: 7,
         kind: 0,
         zone: 0,
-        state: ListState::Up,
+        state: EndpointState::Up,
         weight: 1.0,
         rank: 0,
     };
-    core.report(now, Report::List { front: 0, update: Word::whole(Source::Watch, 0, vec![line], now) });
+    core.report(
+        now,
+        Report::List { front: 0, update: ListUpdate::full(Source::Discovery, 0, vec![line], now) },
+    );
     Life { core, orders, now }
 }
 
--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -69,17 +69,17 @@
     let (folder, clock) = (Folder::new(), Clock::start());
     let journal = Journal::open(&folder.0.join("state"), 3_000_000, clock.now()).unwrap();
     let courier = Arc::new(Courier::new(common::settings(), 1, clock, journal, Options::default()));
-    let line = ListLine {
+    let line = EndpointRecord {
         name: "s-1".into(),
         addr: "127.0.0.1:9".parse().unwrap(),
         dest: 7,
         kind: 0,
         zone: 0,
-        state: ListState::Up,
+        state: EndpointState::Up,
         weight: 1.0,
         rank: 0,
     };
-    let word = Word::whole(Source::Watch, 1, vec![line], clock.now());
+    let word = ListUpdate::full(Source::Discovery, 1, vec![line], clock.now());
     courier.report(Report::List { front: 0, update: word });
     let ((say, told), (hang, hangs)) = (bounded(64), bounded(1));
     let (seen, turns, loud): (Arc<AtomicU64>, Arc<AtomicU64>, Arc<AtomicBool>) = Default::default();
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -39,9 +39,17 @@
 fn list(courier: &Courier) {
     let addr = "127.0.0.1:9".parse().unwrap();
     let name = "a".to_owned();
-    let line =
-        ListLine { name, addr, dest: DEST, kind: 0, zone: 0, state: ListState::Up, weight: 1.0, rank: 0 };
-    let word = Word::whole(Source::Watch, 0, vec![line], courier.clock.now());
+    let line = EndpointRecord {
+        name,
+        addr,
+        dest: DEST,
+        kind: 0,
+        zone: 0,
+        state: EndpointState::Up,
+        weight: 1.0,
+        rank: 0,
+    };
+    let word = ListUpdate::full(Source::Discovery, 0, vec![line], courier.clock.now());
     courier.report(Report::List { front: 0, update: word });
 }
 
