--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -1,4 +1,4 @@
-//! What the fronts tell the core and what it tells them.
+//! The messages between the core and the fronts: orders from the core, reports to it, and its answers.
 
 pub use super::neighbours::{Note, Probe};
 use super::{Backend, Req, Verdict};
@@ -8,101 +8,102 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One fetch of one req.
+/// One delivery attempt of one req.
 #[derive(Debug, Clone)]
 pub struct Fetch {
-    /// The message.
+    /// Number of the message.
     pub msg: u64,
-    /// Its how manieth fetch in the module's count, from 0.
+    /// Number of this attempt as the decision module counts them, from 0.
     pub attempt: u8,
     pub(crate) endpoint: EndpointId,
-    /// Where to.
+    /// The backend to call.
     pub backend: Arc<Backend>,
-    /// What to send.
+    /// The req to send.
     pub req: Arc<Req>,
-    /// Absolute deadline of this fetch, never past the req's own.
+    /// Absolute deadline of this fetch, never later than the req's own.
     pub deadline: Micros,
 }
 
-/// A message that ended otherwise than by delivery; its client must be told.
+/// The end of a message that was not delivered; its client must be notified.
 #[derive(Debug, Clone)]
 pub struct Notice {
-    /// The message.
+    /// Number of the message.
     pub msg: u64,
     /// The req.
     pub req: Arc<Req>,
-    /// Its end.
+    /// How the message ended.
     pub verdict: Verdict,
-    /// What a backend last said of it.
+    /// The text of the last reply that a backend gave for it.
     pub last_reply: String,
 }
 
-/// What is to be done next.
+/// An action for the fronts to carry out.
 #[derive(Debug)]
 pub enum Order {
     /// Start a fetch.
     Fetch(Fetch),
-    /// Start these fetches to one backend as one call, where their front knows how; each has an end of its own.
+    /// Send these fetches to one backend as one call, if their front supports that; each fetch ends separately.
     Batch(Vec<Fetch>),
-    /// Close the connection of a fetch that is out.
+    /// Close the connection of a fetch that is in flight.
     Cancel {
-        /// The message.
+        /// Number of the message.
         msg: u64,
-        /// Which fetch of it.
+        /// Number of its attempt.
         attempt: u8,
     },
-    /// Tell a client the end of its message.
+    /// Notify a client of the end of its message.
     Notice(Notice),
-    /// Watch the list of backends.
+    /// Open a watch on the list of backends.
     WatchList,
-    /// Read the whole list of this front once more, by a connection of its own.
+    /// Read the whole list of this front again, over a separate connection.
     ReadList(u8),
-    /// Close idle connections to this backend.
+    /// Close the idle connections to this backend.
     CloseIdle(Arc<Backend>),
-    /// Ask an endpoint how it is.
+    /// Probe the health of an endpoint.
     Probe(Probe),
-    /// Tell one neighbour, or all of them.
+    /// Send a note to one peer, or to all of them.
     Note {
-        /// Whom; `None`: all.
+        /// The receiving peer; `None` means all peers.
         to: Option<PeerId>,
-        /// What.
+        /// The note.
         note: Note,
     },
-    /// Nothing.
+    /// Nothing is to be done.
     Nothing,
 }
 
-/// How a fetch ended.
+/// How a fetch ended. The variant names are written to logs and into the handover stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum End {
-    /// Delivered.
+    /// The backend accepted the message.
     Delivered,
-    /// The backend answered with an error; it may have run.
+    /// The backend answered with an error; the message may have taken effect.
     Failed,
-    /// Its answer can't be read, or is not whole; it may have run. A wait that it tells binds all the same.
+    /// The answer is malformed or incomplete; the message may have taken effect. A wait that the answer demands is
+    /// honoured all the same.
     Spoilt(Option<Micros>),
-    /// Turned away unseen, perhaps with a wait.
+    /// Refused without being processed; the answer may demand a wait before the next attempt.
     TurnedAway(Option<Micros>),
-    /// Not sent on by the backend's word: all slots are taken, or all attempts made.
+    /// The backend reports that it did not forward the message: it has no free slot, or all attempts were used.
     Unsent,
-    /// Not sent, and nothing more is owed.
+    /// Not sent, and neither another attempt nor a notice is due.
     Over,
-    /// The backend will never take it; it never ran, and its client must be told.
+    /// The backend refuses the message permanently; it never took effect, and its client must be notified.
     Rejected,
-    /// No connection, or it broke before the last byte was written: it never ran.
+    /// No connection was made, or it failed before the last byte was written: the message never took effect.
     NotConnected,
-    /// The connection broke after that.
+    /// The connection failed after the last byte was written.
     Broke,
-    /// No answer by the deadline.
+    /// No answer arrived by the deadline.
     TimedOut,
-    /// Called off.
+    /// The courier cancelled the fetch.
     CalledOff,
-    /// Not a byte of it reached the backend, for a reason of the courier's own: it counts as no attempt.
+    /// The courier itself sent no byte of it to the backend; it does not count as an attempt.
     NotBegun,
 }
 
 impl End {
-    /// What it says of the trust in its backend.
+    /// The evidence that this end gives about the trust in its backend.
     pub fn for_trust(self) -> CallEnd {
         match self {
             End::Delivered | End::Failed | End::TurnedAway(_) | End::Over | End::Rejected => {
@@ -114,80 +115,80 @@
         }
     }
 
-    /// Whether the fetch may have taken effect.
+    /// Whether the fetch may have taken effect at the backend.
     pub fn may_have_run(self) -> bool {
         use End::*;
         matches!(self, Delivered | Failed | Spoilt(_) | Broke | TimedOut | CalledOff)
     }
 }
 
-/// What happened.
+/// An event that a front reports to the core.
 pub enum Report {
-    /// A req was handed in.
+    /// A client submitted a req.
     Req(Req),
-    /// The answer that took this message on has been written: its fetches may begin.
+    /// The answer that accepted this message has been written: its fetches may begin.
     Answered(u64),
-    /// Its client went before that.
+    /// The client disconnected before the answer that accepted this message was written.
     Withdrawn(u64),
-    /// A fetch has its connection; may its first byte go?
+    /// A fetch has its connection and asks whether its first byte may be sent.
     Begin(Fetch),
-    /// A backend's answer tells to wait, and is not read to its end yet.
+    /// A backend's answer demands a wait; the rest of the answer has not been read yet.
     RetryAfter {
-        /// Whose.
+        /// Number of the front.
         front: u8,
-        /// The destination.
+        /// Number of the destination.
         dest: u16,
-        /// For so long from now on.
+        /// How long to wait, from now on.
         wait: Micros,
     },
-    /// A fetch is over.
+    /// A fetch has ended.
     Done {
         /// The fetch.
         fetch: Fetch,
         /// How it ended.
         end: End,
-        /// From its first byte on.
+        /// Time since its first byte was sent.
         latency: Micros,
-        /// What the backend told of its load, in the order of the settings.
+        /// The load figures that the backend reported, in the order of the settings.
         load: Vec<f32>,
-        /// Its last word, where it has words.
+        /// The text of the backend's reply, where the protocol has one.
         reply: String,
     },
-    /// The client has been told the end of this message.
+    /// The client has been notified of the end of this message.
     NoticeDelivered(u64),
-    /// News of the backends.
+    /// The list of backends was read or has changed.
     List {
-        /// Whose list it is.
+        /// Number of the front whose list it is.
         front: u8,
-        /// What its source says.
+        /// The update from the list's source.
         update: ListUpdate,
     },
-    /// The watch on the list is open, and nothing has changed.
+    /// The watch on the list of this front is open, and nothing has changed.
     ListUnchanged(u8),
-    /// The watch on the list of this front failed at all addresses, or broke.
+    /// The watch on the list of this front failed at all addresses, or its connection was lost.
     ListFailed(u8),
 }
 
-/// What the core says to a report, at once.
+/// The core's immediate answer to a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Answer {
-    /// The message is taken on.
+    /// The message is accepted under this number.
     Taken(u64),
-    /// It was taken on before under this id; it is not taken twice.
+    /// A message with this id was accepted before; it is not accepted twice.
     Known,
-    /// A synthetic answer: refused, come back after so long.
+    /// A synthetic answer: refused, retry after this time.
     Refused(Micros),
-    /// A synthetic answer: refused, since this drain lets nothing in; come back after so long.
+    /// A synthetic answer: refused because a drain accepts nothing; retry after the wait.
     Draining {
-        /// How long to stay away.
+        /// Time before the client should retry.
         wait: Micros,
-        /// The drain.
+        /// Number of the drain.
         drain: u64,
     },
     /// No backend was ever listed for this destination.
     NoSuchDest,
-    /// The fetch may begin, or must not.
+    /// Whether the fetch may begin.
     MayBegin(bool),
-    /// Heard.
+    /// The report was recorded; it has no other answer.
     Acknowledged,
 }
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -1,4 +1,4 @@
-//! The core shared by the threads of a process: one clock, one lock, and a desk for fetches that are over.
+//! [`Courier`] shares the core among the threads of a process: one clock, one lock, and a queue of finished fetches.
 
 use super::{draining, Answer, Core, End, Fetch, FinishedFetch, Options, Order, Report, Req};
 use crate::admin::figures::Board;
@@ -15,28 +15,29 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, TryLockError};
 use std::time::Instant;
 
-/// The courier's decisions, shared by all threads.
+/// The core, shared by all threads of the process.
 pub struct Courier {
-    /// The one clock.
+    /// The clock that all threads use.
     pub clock: Clock,
     state: Mutex<Core>,
-    /// Fetches that are over and that the core has not heard of yet, and how many: whoever holds the state takes them in
-    /// before it lets go. Threads that end a fetch never wait for the state, and what ends together is one round of the
-    /// module and one write of the journal.
-    desk: Mutex<Vec<FinishedFetch>>,
-    on_desk: AtomicUsize,
+    /// Finished fetches that the core has not processed yet. The thread that holds the state processes them before it
+    /// releases the lock, so threads that finish a fetch never wait for it. Fetches that are processed together need
+    /// one round of the decision module and one journal write.
+    finished: Mutex<Vec<FinishedFetch>>,
+    /// The length of `finished`, readable without its lock.
+    finished_count: AtomicUsize,
     orders: Receiver<Order>,
-    /// Ended messages; `None`: they are not kept.
+    /// Store of ended messages; `None` if they are not kept.
     pub(super) history: Option<Arc<Shelf>>,
-    /// What operators read; it is as it was when the state was last let go of.
+    /// Figures for operators, as of the last release of the state lock.
     pub board: Arc<Board>,
-    /// Where the core meets what couriers share.
+    /// Exchange of facts and beliefs between the core and the thread that shares them with other couriers.
     pub sharing: Arc<Desk>,
-    /// Fronts that take nothing on.
+    /// For each front, whether a drain makes it refuse everything.
     pub(super) closed_fronts: [AtomicBool; draining::FRONT_COUNT],
 }
 
-/// The state while one thread holds it. What lies on the desk by the end is taken in.
+/// Guard of the locked state. Dropping it processes the queued finished fetches and releases the lock.
 pub(super) struct StateGuard<'a> {
     courier: &'a Courier,
     state: Option<MutexGuard<'a, Core>>,
@@ -58,13 +59,13 @@
 impl Drop for StateGuard<'_> {
     fn drop(&mut self) {
         if let Some(state) = self.state.take() {
-            self.courier.clear_desk(state);
+            self.courier.process_finished(state);
         }
     }
 }
 
 impl Courier {
-    /// Takes up what the journal says is owed.
+    /// Creates the core and resumes the messages that the journal lists as pending.
     pub fn new(settings: Settings, seed: u64, clock: Clock, journal: Journal, options: Options) -> Courier {
         let (core, orders) = Core::new(settings, seed, clock.now(), journal, options);
         let courier = Courier {
@@ -72,8 +73,8 @@
             sharing: core.sharing_state.desk.clone(),
             history: core.history.as_ref().map(|history| history.shelf.clone()),
             state: Mutex::new(core),
-            desk: Mutex::default(),
-            on_desk: AtomicUsize::new(0),
+            finished: Mutex::default(),
+            finished_count: AtomicUsize::new(0),
             orders,
             board: Arc::default(),
             closed_fronts: draining::all_fronts_open(),
@@ -87,35 +88,36 @@
         StateGuard { courier: self, state: Some(state) }
     }
 
-    /// Fetches are over. They are taken in at once, by this thread or by the one that holds the state.
-    fn over(&self, over: Vec<FinishedFetch>) {
-        let mut desk = self.desk.lock().unwrap_or_else(PoisonError::into_inner);
-        desk.extend(over);
-        // Danger: written after the lock is gone, a later smaller number would hide what lies there.
-        self.on_desk.store(desk.len(), Ordering::SeqCst);
-        drop(desk);
+    /// Queues finished fetches. They are processed at once, by this thread or by the one that holds the state.
+    fn push_finished(&self, fetches: Vec<FinishedFetch>) {
+        let mut finished = self.finished.lock().unwrap_or_else(PoisonError::into_inner);
+        finished.extend(fetches);
+        // Stored while the queue is locked. After the lock is released, a delayed store of a smaller number would hide
+        // fetches that were queued meanwhile.
+        self.finished_count.store(finished.len(), Ordering::SeqCst);
+        drop(finished);
         match self.state.try_lock() {
-            Ok(state) => self.clear_desk(state),
-            Err(TryLockError::Poisoned(state)) => self.clear_desk(state.into_inner()),
-            // Whoever holds it looks at the desk once more after letting go.
+            Ok(state) => self.process_finished(state),
+            Err(TryLockError::Poisoned(state)) => self.process_finished(state.into_inner()),
+            // The thread that holds the state checks the queue again after it releases the lock.
             Err(TryLockError::WouldBlock) => {}
         }
     }
 
-    /// Takes in what lies on the desk and lets go of the state. Danger: what is put there in between, by a thread that
-    /// found the state held, would lie until the next event; so the desk is looked at again afterwards.
-    fn clear_desk<'a>(&'a self, mut state: MutexGuard<'a, Core>) {
+    /// Processes the queued finished fetches and releases the state. The queue is checked again after the release: a
+    /// fetch queued in between, by a thread that found the state locked, would otherwise wait until the next event.
+    fn process_finished<'a>(&'a self, mut state: MutexGuard<'a, Core>) {
         loop {
-            if self.on_desk.load(Ordering::SeqCst) > 0 {
-                let mut desk = self.desk.lock().unwrap_or_else(PoisonError::into_inner);
-                let over = std::mem::take(&mut *desk);
-                self.on_desk.store(0, Ordering::SeqCst);
-                drop(desk);
-                state.done(self.clock.now(), over);
+            if self.finished_count.load(Ordering::SeqCst) > 0 {
+                let mut finished = self.finished.lock().unwrap_or_else(PoisonError::into_inner);
+                let fetches = std::mem::take(&mut *finished);
+                self.finished_count.store(0, Ordering::SeqCst);
+                drop(finished);
+                state.done(self.clock.now(), fetches);
             }
             self.board.publish(state.figures());
             drop(state);
-            if self.on_desk.load(Ordering::SeqCst) == 0 {
+            if self.finished_count.load(Ordering::SeqCst) == 0 {
                 return;
             }
             state = match self.state.try_lock() {
@@ -126,20 +128,21 @@
         }
     }
 
-    /// Blocks until there is something to do. The courier lives as long as its process, so orders never end.
+    /// Blocks until the next order. The courier exists as long as its process, so the channel of orders never closes.
     pub fn next_order(&self) -> Order {
         self.orders.recv().unwrap_or(Order::Nothing)
     }
 
-    /// Takes in what happened.
+    /// Processes an event that a front reports, and answers it.
     pub fn report(&self, what: Report) -> Answer {
         if let Report::Done { fetch, end, latency, load, reply: said } = what {
-            self.over(vec![FinishedFetch { fetch, end, latency, load, said }]);
+            self.push_finished(vec![FinishedFetch { fetch, end, latency, load, said }]);
             return Answer::Acknowledged;
         }
         let mut state = self.state();
-        // Danger: what lies on the desk may tell to wait, or that the message is over, and was there before.
-        if matches!(what, Report::Begin(_)) && self.on_desk.load(Ordering::SeqCst) > 0 {
+        // A fetch that finished earlier and is still queued may demand a wait or end this message. Dropping the guard
+        // processes it before the decision.
+        if matches!(what, Report::Begin(_)) && self.finished_count.load(Ordering::SeqCst) > 0 {
             drop(state);
             state = self.state();
         }
@@ -147,11 +150,11 @@
         state.report(now, what)
     }
 
-    /// The members of a batch have their connection: which of them may go, each by itself.
+    /// Decides for each member of a batch that has its connection whether its first byte may be sent.
     pub fn begin_all(&self, fetches: &[Fetch]) -> Vec<bool> {
         let mut state = self.state();
-        // Danger: as in [`Courier::report`].
-        if self.on_desk.load(Ordering::SeqCst) > 0 {
+        // Queued fetches are processed first, for the same reason as in [`Courier::report`].
+        if self.finished_count.load(Ordering::SeqCst) > 0 {
             drop(state);
             state = self.state();
         }
@@ -159,72 +162,72 @@
         state.begin_all(now, fetches)
     }
 
-    /// Fetches that shared a call are over; they are taken in as one. The first speaks for the call.
+    /// Reports the end of fetches that shared one call; they are processed together. The first stands for the call.
     pub fn batch_done(&self, ends: Vec<(Fetch, End)>, latency: Micros, load: &[f32]) {
-        let over =
+        let finished =
             |(fetch, end)| FinishedFetch { fetch, end, latency, load: load.to_vec(), said: String::new() };
-        self.over(ends.into_iter().map(over).collect());
+        self.push_finished(ends.into_iter().map(finished).collect());
     }
 
-    /// Reqs that came together are taken or refused together, each by itself: one write of the journal covers all that are
-    /// taken, and one round of the module decides on them, in their order.
+    /// Accepts or refuses each of several reqs that arrived together. One journal write covers all that are accepted,
+    /// and one round of the decision module decides on them, in their order.
     pub fn hand_in(&self, reqs: Vec<Req>) -> Vec<Answer> {
         let now = self.clock.now();
         self.state().take(now, reqs)
     }
 
-    /// The answers that took these messages on have been written, or could not be.
+    /// Reports for each message whether the answer that accepted it could be written.
     pub fn answered(&self, written: &[(u64, bool)]) {
         let now = self.clock.now();
         self.state().answered(now, written);
     }
 
-    /// Moves time; says when it wants to be called again at the latest.
+    /// Advances the core's time; returns the latest moment for the next call.
     pub fn tick(&self) -> Instant {
         let now = self.clock.now();
         let next = self.state().tick(now);
         self.clock.instant(next)
     }
 
-    /// The process is to end at this moment: nothing begins that cannot finish by then.
+    /// Sets the moment at which the process ends: no fetch begins that cannot finish by then.
     pub fn stop(&self, at: Instant) {
-        let left = at.saturating_duration_since(Instant::now());
-        let at = self.clock.now() + Micros(left.as_micros() as u64);
+        let remaining = at.saturating_duration_since(Instant::now());
+        let at = self.clock.now() + Micros(remaining.as_micros() as u64);
         self.state().stop(at);
     }
 
-    /// How many messages are owed their end.
+    /// Number of messages that are still pending.
     pub fn owed(&self) -> usize {
         self.state().owed()
     }
 
-    /// How many backends are known, those counted that went lately.
+    /// Number of known backends, including those that were removed recently.
     pub fn backends(&self) -> usize {
         self.state().backends.len()
     }
 
-    /// What the courier may do, by what its list of this front rests on.
+    /// What the courier may do, given the source of this front's list of backends.
     pub fn phase(&self, front: u8) -> Phase {
         self.state().register.front(front).map_or(Phase::Cold, |b| b.phase())
     }
 
-    /// Whether a front calls itself ready.
+    /// Whether a front reports itself as ready.
     pub fn ready(&self, front: u8) -> bool {
         let now = self.clock.now();
         self.state().register.front_mut(front, now).ready(now)
     }
 
-    /// The version of a front's list after which its changes are to be asked for.
+    /// The version of a front's list from which changes are to be requested.
     pub fn list_version(&self, front: u8) -> u64 {
         self.state().register.front(front).map_or(0, |b| b.list_version())
     }
 
-    /// The number of a front's list and when it was last true, once discovery has spoken.
+    /// The number of a front's list and when it was last confirmed, once discovery has answered.
     pub fn edition(&self, front: u8) -> Option<(u64, Micros)> {
         self.state().register.front(front)?.revision()
     }
 
-    /// That list, and the bytes that the journal takes beside it.
+    /// A front's list as it is to be stored on disk, and the bytes that the journal occupies beside it.
     pub fn list_to_store(&self, front: u8) -> Option<(ListSnapshot, u64)> {
         let state = self.state();
         Some((state.register.front(front)?.snapshot()?, state.journal.on_disk()))
