--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -84,7 +84,7 @@
             match later {
                 Deferred::Report(what) => drop(self.report(now, what)),
                 Deferred::Completed(all) => self.done(now, all),
-                Deferred::Probed(event) => self.probe_over(now, event),
+                Deferred::Probed(event) => self.process_probe_result(now, event),
             }
         }
     }
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -1,5 +1,5 @@
-//! The core's part in what neighbours tell each other and in probes of endpoints. The module names an endpoint by a number
-//! that this courier gave it; outside it goes by its name in the list, the same at every courier.
+//! The core's part in the notes between peers and in probes of endpoints. The decision module identifies an endpoint by
+//! a number that this courier assigned; notes carry its name in the list, which is the same at every courier.
 
 use super::handover::{Deferred, Ownership};
 use super::{Backend, Core, Courier, Order, MIN_TIME_TO_BEGIN, PLATFORM_FRONT};
@@ -7,77 +7,84 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// Probes that are ordered or out at once; more end as not sent. Danger: a module that asks without end would fill memory.
-const OUT_MOST: usize = 1024;
+/// Probes that may be ordered or in flight at once; further ones end as not sent. Without the limit, a decision module
+/// that keeps asking for probes would exhaust memory.
+const MAX_OUTSTANDING_PROBES: usize = 1024;
 
-/// A question to one endpoint how it is.
+/// A health probe of one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Probe {
     pub(crate) endpoint: EndpointId,
-    /// Whom to ask.
+    /// The backend to probe.
     pub backend: Arc<Backend>,
-    /// Its destination, whose told waits bind the probe too.
+    /// Its destination; a wait that the destination demanded applies to the probe too.
     pub dest: u16,
-    /// When it was ordered; its time counts from here.
-    pub since: Micros,
+    /// When the probe was ordered; its timeout counts from this moment.
+    pub ordered_at: Micros,
 }
 
 impl Probe {
-    /// A number of its own among all that is out: messages have numbers below it, and an endpoint has one probe at most.
+    /// A number that no other call in flight has: messages have smaller numbers, and an endpoint has one probe at most.
     pub fn number(&self) -> u64 {
         let [a, b, c, d, ..] = self.endpoint.bytes();
         u64::from(u32::MAX) << 32 | u64::from(u32::from_be_bytes([a, b, c, d]))
     }
 }
 
-/// What one courier tells another.
+/// A note that one courier sends to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Note {
-    /// The endpoint of this name has answered after it had been out.
+    /// The endpoint of this name has answered again after an outage.
     EndpointRecovered(String),
 }
 
-/// What the settings permit, and what is out.
+/// Whether the settings permit probes and notes, and the endpoints with a probe ordered or in flight.
 #[derive(Default)]
 pub(super) struct ProbesAndNotes {
-    probes: bool,
-    notes: bool,
-    out: BTreeSet<EndpointId>,
+    probes_allowed: bool,
+    notes_allowed: bool,
+    outstanding: BTreeSet<EndpointId>,
 }
 
 impl ProbesAndNotes {
-    pub(super) fn new(probes: bool, notes: bool) -> ProbesAndNotes {
-        ProbesAndNotes { probes, notes, out: BTreeSet::new() }
+    pub(super) fn new(probes_allowed: bool, notes_allowed: bool) -> ProbesAndNotes {
+        ProbesAndNotes { probes_allowed, notes_allowed, outstanding: BTreeSet::new() }
     }
 }
 
 impl Core {
-    /// The name behind one of the module's numbers, if the platform's list has it. Who brings mail to other firms speaks
-    /// another protocol there, and his neighbours are none of ours.
-    fn name_of(&self, at: EndpointId) -> Option<String> {
-        let mut all = self.endpoint_ids.iter();
-        all.find(|((front, _), id)| *front == PLATFORM_FRONT && **id == at).map(|((_, name), _)| name.clone())
+    /// The name of an endpoint of the decision module, if it is one of the platform front. Mail servers of other
+    /// companies speak another protocol and are not known to the peers.
+    fn endpoint_name(&self, at: EndpointId) -> Option<String> {
+        let mut known = self.endpoint_ids.iter();
+        known
+            .find(|((front, _), id)| *front == PLATFORM_FRONT && **id == at)
+            .map(|((_, name), _)| name.clone())
     }
 
-    /// The module asks for a probe. What can't be ordered ends at once, by an event that is returned. Danger: an endpoint
-    /// counts as half open until its probe ends, and gets nothing meanwhile.
+    /// Orders a probe for the decision module. If it can't be ordered, the event of its end is returned at once: an
+    /// endpoint counts as half open until its probe ends, and receives no calls meanwhile.
     pub(super) fn probe(&mut self, now: Micros, at: EndpointId) -> Option<Event> {
-        let to = self.name_of(at).and_then(|name| self.register.front(PLATFORM_FRONT)?.destination_of(&name));
-        let (Some(dest), Some(backend), true) = (to, self.backends.get(&at).cloned(), self.neighbours.probes)
+        let target =
+            self.endpoint_name(at).and_then(|name| self.register.front(PLATFORM_FRONT)?.destination_of(&name));
+        let (Some(dest), Some(backend), true) =
+            (target, self.backends.get(&at).cloned(), self.neighbours.probes_allowed)
         else {
-            return Some(probed(at, Outcome::Moot, Micros(0), Vec::new()));
+            return Some(probe_event(at, Outcome::Moot, Micros(0), Vec::new()));
         };
-        if self.neighbours.out.len() >= OUT_MOST || !self.neighbours.out.insert(at) {
-            return Some(probed(at, Outcome::Moot, Micros(0), Vec::new()));
+        if self.neighbours.outstanding.len() >= MAX_OUTSTANDING_PROBES
+            || !self.neighbours.outstanding.insert(at)
+        {
+            return Some(probe_event(at, Outcome::Moot, Micros(0), Vec::new()));
         }
-        self.order(Order::Probe(Probe { endpoint: at, backend, dest, since: now }));
+        self.order(Order::Probe(Probe { endpoint: at, backend, dest, ordered_at: now }));
         None
     }
 
-    /// The module has something to tell; what is not the number of an endpoint is told nobody.
+    /// Sends a note of the decision module. Bytes that are not the number of a known endpoint are not sent.
     pub(super) fn note(&self, to: Option<PeerId>, bytes: &[u8]) {
-        let name = EndpointId::from_bytes(bytes).and_then(|at| self.name_of(at));
-        if let (Some(name), true) = (name, self.neighbours.notes) {
+        let name = EndpointId::from_bytes(bytes).and_then(|at| self.endpoint_name(at));
+        if let (Some(name), true) = (name, self.neighbours.notes_allowed) {
             self.order(Order::Note { to, note: Note::EndpointRecovered(name) });
         }
     }
@@ -88,37 +95,40 @@
             return false;
         }
         self.look_at_hand(now);
-        let listed =
-            self.register.front(PLATFORM_FRONT).is_some_and(|b| b.accepts_calls(&probe.backend.name));
-        let same = self.backends.get(&probe.endpoint).is_some_and(|b| *b == probe.backend);
-        let told_wait =
+        let listed = self.register.front(PLATFORM_FRONT).is_some_and(|b| b.accepts_calls(&probe.backend.name));
+        let unchanged = self.backends.get(&probe.endpoint).is_some_and(|b| *b == probe.backend);
+        let must_wait =
             self.destination_waits.get(&(PLATFORM_FRONT, probe.dest)).is_some_and(|until| now < *until);
-        let ends = self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at);
-        listed && same && !told_wait && !ends && self.neighbours.out.contains(&probe.endpoint)
+        let stopping = self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at);
+        listed
+            && unchanged
+            && !must_wait
+            && !stopping
+            && self.neighbours.outstanding.contains(&probe.endpoint)
     }
 
     /// As [`Courier::probed`].
     pub fn probed(&mut self, now: Micros, probe: &Probe, outcome: Outcome, latency: Micros, load: Vec<f32>) {
-        let event = probed(probe.endpoint, outcome, latency, load);
+        let event = probe_event(probe.endpoint, outcome, latency, load);
         match &mut self.mode {
             Ownership::Active => {}
             Ownership::Frozen(waited) => return waited.push(Deferred::Probed(event)),
-            // Whoever goes on with the module has taken it for not sent.
+            // The process that took over the decision module treats this probe as not sent.
             Ownership::HandedOver { .. } => return,
         }
         if let Outcome::Full(Some(wait)) = outcome {
-            // Danger: the module hears no wait in the outcome of a probe. Calls that it went on to order would be stopped
-            // just before their first byte, one after the other, until their messages had no attempt left.
+            // The decision module ignores the wait in the outcome of a probe. Without being told here it would keep
+            // ordering calls that are stopped just before their first byte, until their messages had no attempt left.
             self.heard_wait(now, PLATFORM_FRONT, probe.dest, wait);
             self.policy.restore_wait(DestinationId(probe.dest), now + wait);
             self.remember(now);
         }
-        self.probe_over(now, event);
+        self.process_probe_result(now, event);
     }
 
-    pub(super) fn probe_over(&mut self, now: Micros, event: Event) {
+    pub(super) fn process_probe_result(&mut self, now: Micros, event: Event) {
         if let Event::Probed { endpoint, .. } = &event {
-            self.neighbours.out.remove(endpoint);
+            self.neighbours.outstanding.remove(endpoint);
         }
         self.feed(now, &[event], &mut []);
     }
@@ -131,7 +141,7 @@
         else {
             return false;
         };
-        if !self.neighbours.notes || !self.is_active() {
+        if !self.neighbours.notes_allowed || !self.is_active() {
             return false;
         }
         self.feed(now, &[Event::PeerNote { from, bytes: at.bytes().to_vec() }], &mut []);
@@ -140,27 +150,27 @@
 }
 
 impl Courier {
-    /// Just before the first byte of a probe: whether its endpoint is listed where it was, in use, and not told to be left
-    /// alone, and whether the process goes on for long enough.
+    /// Decides just before the first byte of a probe whether it may be sent: its endpoint must still be listed at the
+    /// same address, be in use and have no wait pending, and the process must run long enough.
     pub fn may_probe(&self, probe: &Probe) -> bool {
         let now = self.clock.now();
         self.state().may_probe(now, probe)
     }
 
-    /// A probe is over. `Moot`: it was not sent.
+    /// Reports the end of a probe. `Moot` means that it was not sent.
     pub fn probed(&self, probe: &Probe, outcome: Outcome, latency: Micros, load: Vec<f32>) {
         let now = self.clock.now();
         self.state().probed(now, probe, outcome, latency, load);
     }
 
-    /// A neighbour has told something; `false`: it is of no use here, since what it names is not listed or the settings
-    /// permit no notes.
+    /// Processes a note from a peer. Returns `false` if the note is ignored, since its endpoint is not listed here, the
+    /// settings permit no notes, or this process does not decide.
     pub fn noted(&self, from: PeerId, note: &Note) -> bool {
         let now = self.clock.now();
         self.state().noted(now, from, note)
     }
 }
 
-fn probed(endpoint: EndpointId, outcome: Outcome, latency: Micros, report: Vec<f32>) -> Event {
+fn probe_event(endpoint: EndpointId, outcome: Outcome, latency: Micros, report: Vec<f32>) -> Event {
     Event::Probed { endpoint, outcome, latency, report }
 }
--- a/src/core/sharing.rs
+++ b/src/core/sharing.rs
@@ -1,4 +1,5 @@
-//! The core's side of the desk where it meets what couriers share. Without a rider the desk is shut, and nothing is done here.
+//! The core's side of its exchange with the thread that shares facts and beliefs among couriers. If no such thread
+//! runs, the exchange is closed and nothing is done here.
 
 use super::{Core, PLATFORM_FRONT};
 use crate::api::{EndpointId, Micros};
@@ -6,79 +7,86 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Facts are laid down so often.
-const EVERY: Micros = Micros(100_000);
+/// How often the core publishes its facts.
+const FACTS_INTERVAL: Micros = Micros(100_000);
 
-/// What the core keeps of it.
+/// The core's state of the exchange.
 #[derive(Default)]
 pub(super) struct FleetExchange {
     pub(super) desk: Arc<Desk>,
-    paused: bool,
-    facts_at: Micros,
-    /// The beliefs that the module has.
-    believed: Option<Arc<Beliefs>>,
-    /// By the module's number: the name that all couriers compute alike.
-    named: HashMap<EndpointId, u64>,
-    /// Those left out by hand, by that name, and of which version of the set.
-    banned: (u64, Arc<[u64]>),
+    was_open: bool,
+    next_facts_at: Micros,
+    /// The beliefs that the decision module has.
+    current_beliefs: Option<Arc<Beliefs>>,
+    /// For each endpoint of the decision module, the numeric name that every courier computes for it.
+    shared_names: HashMap<EndpointId, u64>,
+    /// Version of the operators' overrides, and the numeric names of the endpoints that they exclude.
+    ejected_by_operator: (u64, Arc<[u64]>),
 }
 
 impl FleetExchange {
-    /// The core decides nothing from here on, and nobody may lend in its name.
+    /// Closes the exchange while the core decides nothing, so that no share of a limit is lent on its behalf.
     pub(super) fn pause(&mut self) {
-        self.paused = self.desk.is_open();
+        self.was_open = self.desk.is_open();
         self.desk.shut();
     }
 
-    /// It does again.
+    /// Opens the exchange again if it was open before [`FleetExchange::pause`].
     pub(super) fn resume(&mut self) {
-        if std::mem::take(&mut self.paused) {
+        if std::mem::take(&mut self.was_open) {
             self.desk.open();
         }
     }
 }
 
 impl Core {
-    /// When a round begins: what the fleet believes goes in, and from time to time what this courier knows goes out.
+    /// At the start of a round, passes the fleet's beliefs to the decision module, and every [`FACTS_INTERVAL`]
+    /// publishes this courier's facts.
     pub(super) fn exchange_with_fleet(&mut self, now: Micros) {
         if !self.sharing_state.desk.is_open() {
             return;
         }
         let beliefs = self.sharing_state.desk.beliefs();
-        let same = match (&beliefs, &self.sharing_state.believed) {
+        let unchanged = match (&beliefs, &self.sharing_state.current_beliefs) {
             (Some(new), Some(old)) => Arc::ptr_eq(new, old),
             (new, _) => new.is_none(),
         };
-        if !same {
-            self.sharing_state.believed = beliefs.clone();
+        if !unchanged {
+            self.sharing_state.current_beliefs = beliefs.clone();
             beliefs.into_iter().for_each(|beliefs| self.policy.apply_beliefs(now, beliefs));
         }
-        if now < self.sharing_state.facts_at {
+        if now < self.sharing_state.next_facts_at {
             return;
         }
-        self.sharing_state.facts_at = now + EVERY;
+        self.sharing_state.next_facts_at = now + FACTS_INTERVAL;
         let mut facts = self.policy.facts(now);
-        if self.sharing_state.named.len() > 2 * self.endpoint_ids.len() {
-            self.sharing_state.named.clear();
+        if self.sharing_state.shared_names.len() > 2 * self.endpoint_ids.len() {
+            self.sharing_state.shared_names.clear();
         }
-        if facts.endpoints.iter().any(|e| !self.sharing_state.named.contains_key(&e.at)) {
-            // Who brings mail to other firms speaks another protocol there, and his neighbours are none of ours.
+        if facts.endpoints.iter().any(|endpoint| !self.sharing_state.shared_names.contains_key(&endpoint.at))
+        {
+            // Only endpoints of the platform front are shared: mail servers of other companies speak another protocol
+            // and are not known to the peers.
             let platform = self.endpoint_ids.iter().filter(|((front, _), _)| *front == PLATFORM_FRONT);
-            self.sharing_state.named.extend(platform.map(|((_, words), id)| (*id, name(words.as_bytes()))));
+            self.sharing_state
+                .shared_names
+                .extend(platform.map(|((_, endpoint), id)| (*id, name(endpoint.as_bytes()))));
         }
-        if let Some(hand) =
-            self.overrides.as_ref().filter(|hand| hand.version() != self.sharing_state.banned.0)
+        if let Some(overrides) = self
+            .overrides
+            .as_ref()
+            .filter(|overrides| overrides.version() != self.sharing_state.ejected_by_operator.0)
         {
-            // Danger: the version before the set, so that a change in between is looked at once more.
-            let version = hand.version();
-            self.sharing_state.banned =
-                (version, hand.out().names().map(|out| name(out.as_bytes())).collect());
+            // The version is read before the set, so that a change in between causes another read in the next round.
+            let version = overrides.version();
+            self.sharing_state.ejected_by_operator =
+                (version, overrides.out().names().map(|endpoint| name(endpoint.as_bytes())).collect());
         }
-        facts.banned = self.sharing_state.banned.1.clone();
-        let named = &self.sharing_state.named;
-        facts.endpoints.retain_mut(|e| {
-            named.get(&e.at).is_some_and(|name| {
-                e.name = *name;
+        facts.banned = self.sharing_state.ejected_by_operator.1.clone();
+        let shared_names = &self.sharing_state.shared_names;
+        facts.endpoints.retain_mut(|endpoint| {
+            shared_names.get(&endpoint.at).is_some_and(|name| {
+                endpoint.name = *name;
                 true
             })
         });
--- a/src/net/platform/probe.rs
+++ b/src/net/platform/probe.rs
@@ -50,7 +50,7 @@
 }
 
 fn ask(platform: &Platform, probe: &Probe) -> Ended {
-    let until = platform.courier.clock.instant(probe.since + platform.names.connect);
+    let until = platform.courier.clock.instant(probe.ordered_at + platform.names.connect);
     // Danger: behind endpoints that hang it may have waited for its whole time, and asks for nobody any more.
     if Instant::now() >= until {
         return Ended::without_answer(Outcome::Moot, None);
