--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -1,4 +1,4 @@
-//! The module decides, and its actions become orders for the fronts.
+//! Passes events to the decision module and carries out its actions as orders for the fronts.
 
 use super::batches::{self, Try};
 use super::{Core, Fetch, Notice, Order, Verdict};
@@ -6,10 +6,10 @@
 use crate::api::{Action, Event, Micros};
 
 impl Core {
-    /// Gives events to the module and carries out what it decides. A verdict on a req that is being handed in (`asking`)
-    /// is its answer, not an order.
-    pub(super) fn feed(&mut self, now: Micros, events: &[Event], asking: &mut [(u64, Option<Verdict>)]) {
-        let (mut actions, mut never_sent, mut tries) = (Vec::new(), Vec::new(), Vec::new());
+    /// Passes events to the decision module and carries out its actions. A verdict on a req that is just being submitted
+    /// (`submitted`) is stored there as its answer and becomes no order.
+    pub(super) fn feed(&mut self, now: Micros, events: &[Event], submitted: &mut [(u64, Option<Verdict>)]) {
+        let (mut actions, mut unsent_events, mut tries) = (Vec::new(), Vec::new(), Vec::new());
         self.exchange_with_fleet(now);
         self.policy.handle(now, events, &mut actions);
         for action in actions {
@@ -18,11 +18,11 @@
                     tries.push(Try { msg: id.0, at: endpoint, cap: timeout })
                 }
                 Action::Decline { id, stay_away } => {
-                    self.verdict(now, id.0, Verdict::HandedBack(stay_away), asking);
+                    self.verdict(now, id.0, Verdict::HandedBack(stay_away), submitted);
                 }
-                Action::Fail(id) => self.verdict(now, id.0, Verdict::GivenUp, asking),
+                Action::Fail(id) => self.verdict(now, id.0, Verdict::GivenUp, submitted),
                 Action::CallOff { id, attempt } => match self.leave_line(id.0) {
-                    Some(event) => never_sent.push(event),
+                    Some(event) => unsent_events.push(event),
                     None => self.order(Order::Cancel { msg: id.0, attempt }),
                 },
                 Action::SetTimer { after, .. } => {
@@ -35,33 +35,33 @@
                         self.order(Order::CloseIdle(backend.clone()));
                     }
                 }
-                Action::Log(words) => tracing::info!(target: "decisions", "{words}"),
-                Action::Probe(endpoint) => never_sent.extend(self.probe(now, endpoint)),
+                Action::Log(text) => tracing::info!(target: "decisions", "{text}"),
+                Action::Probe(endpoint) => unsent_events.extend(self.probe(now, endpoint)),
                 Action::Note { to, bytes } => self.note(to, &bytes),
             }
         }
-        for together in self.batches.of_one_turn(tries) {
-            self.fetch(now, together);
+        for batch in self.batches.of_one_turn(tries) {
+            self.start_call(now, batch);
         }
-        if !never_sent.is_empty() {
-            self.feed(now, &never_sent, asking);
+        if !unsent_events.is_empty() {
+            self.feed(now, &unsent_events, submitted);
         }
     }
 
-    /// Those that travel as one call. One that has to wait for its turn at a backend that is not fully trusted goes alone.
-    fn fetch(&mut self, now: Micros, together: Vec<Try>) {
-        let mut call = Vec::with_capacity(together.len());
-        for Try { msg, at, cap } in together {
-            let (Some(held), Some(backend)) = (self.messages.get_mut(&msg), self.backends.get(&at)) else {
+    /// Starts the fetches that share one call. A fetch that has to wait for its turn at a backend that is not fully
+    /// trusted is taken out of the call and sent alone later.
+    fn start_call(&mut self, now: Micros, batch: Vec<Try>) {
+        let mut call = Vec::with_capacity(batch.len());
+        for Try { msg, at, cap } in batch {
+            let (Some(pending), Some(backend)) = (self.messages.get_mut(&msg), self.backends.get(&at)) else {
                 continue;
             };
-            let (attempt, backend, req) = (held.attempts, backend.clone(), held.req.clone());
-            held.attempts = held.attempts.wrapping_add(1);
-            held.in_flight = true;
-            let until = now;
-            let goes = self.register.front_mut(req.front, now).admit_call(now, &backend.name, msg);
-            let fetch = Fetch { msg, attempt, endpoint: at, backend, req, deadline: until };
-            if goes {
+            let (attempt, backend, req) = (pending.attempts, backend.clone(), pending.req.clone());
+            pending.attempts = pending.attempts.wrapping_add(1);
+            pending.in_flight = true;
+            let may_start = self.register.front_mut(req.front, now).admit_call(now, &backend.name, msg);
+            let fetch = Fetch { msg, attempt, endpoint: at, backend, req, deadline: now };
+            if may_start {
                 call.push((fetch, cap));
             } else {
                 self.waiting_fetches.insert(msg, (fetch, cap));
@@ -71,10 +71,11 @@
             0 => {}
             1 => call.into_iter().for_each(|(fetch, cap)| self.start(now, fetch, cap)),
             _ => {
-                let fetches = call.into_iter().map(|(fetch, cap)| self.timed(now, fetch, cap)).collect();
+                let fetches =
+                    call.into_iter().map(|(fetch, cap)| self.with_deadline(now, fetch, cap)).collect();
                 for mut call in batches::of_one_time(now, fetches) {
                     match call.len() {
-                        1 => call.drain(..).for_each(|fetch| self.go(fetch)),
+                        1 => call.drain(..).for_each(|fetch| self.order_fetch(fetch)),
                         _ => self.start_batch(call),
                     }
                 }
@@ -82,8 +83,8 @@
         }
     }
 
-    /// With its deadline, now that its turn has come.
-    fn timed(&self, now: Micros, mut fetch: Fetch, cap: Micros) -> Fetch {
+    /// Sets the deadline of a fetch that may start now: its timeout, limited by the req's deadline and the process end.
+    fn with_deadline(&self, now: Micros, mut fetch: Fetch, cap: Micros) -> Fetch {
         fetch.deadline = (now + cap).min(fetch.req.due);
         if let Some(stop_at) = self.stop_at {
             fetch.deadline = fetch.deadline.min(stop_at);
@@ -91,71 +92,74 @@
         fetch
     }
 
-    /// Its turn has come.
+    /// Starts a fetch whose turn at its backend has come.
     pub(super) fn start(&mut self, now: Micros, fetch: Fetch, cap: Micros) {
-        let fetch = self.timed(now, fetch, cap);
-        self.go(fetch);
+        let fetch = self.with_deadline(now, fetch, cap);
+        self.order_fetch(fetch);
     }
 
-    /// Goes by itself, at once or when its answer is written.
-    fn go(&mut self, fetch: Fetch) {
-        let Some(held) = self.messages.get_mut(&fetch.msg) else { return };
-        match &mut held.orders_after_answer {
+    /// Orders a fetch that has a call of its own: at once, or after the answer that accepted its message is written.
+    fn order_fetch(&mut self, fetch: Fetch) {
+        let Some(pending) = self.messages.get_mut(&fetch.msg) else { return };
+        match &mut pending.orders_after_answer {
             Some(parked) => parked.push(Order::Fetch(fetch)),
             None => self.order(Order::Fetch(fetch)),
         }
     }
 
+    /// Records the end of a message that was not delivered and orders the notice to its client.
     pub(super) fn verdict(
-        &mut self, now: Micros, msg: u64, verdict: Verdict, asking: &mut [(u64, Option<Verdict>)],
+        &mut self, now: Micros, msg: u64, verdict: Verdict, submitted: &mut [(u64, Option<Verdict>)],
     ) {
-        if let Some((_, answer)) = asking.iter_mut().find(|(id, _)| *id == msg) {
+        if let Some((_, answer)) = submitted.iter_mut().find(|(id, _)| *id == msg) {
             *answer = Some(verdict);
             return;
         }
-        // Nobody waits for an answer to one that is sent again: its run looks after it.
+        // No client waits for the end of a replayed message: its replay run handles it.
         if self.replays.contains(msg) {
             return;
         }
         self.journal.verdict(msg, verdict);
         self.note_verdict(msg, verdict);
-        let Some(held) = self.messages.get_mut(&msg) else { return };
-        held.decided = true;
-        let said = self.journal.owed().get(&msg).map(|o| o.said.clone()).unwrap_or_default();
-        let notice = Notice { msg, req: held.req.clone(), verdict, last_reply: said };
-        match &mut held.orders_after_answer {
+        let Some(pending) = self.messages.get_mut(&msg) else { return };
+        pending.decided = true;
+        let last_reply = self.journal.owed().get(&msg).map(|o| o.said.clone()).unwrap_or_default();
+        let notice = Notice { msg, req: pending.req.clone(), verdict, last_reply };
+        match &mut pending.orders_after_answer {
             Some(parked) => parked.push(Order::Notice(notice)),
             None => self.tell(now, notice),
         }
     }
 
     pub(super) fn order(&self, order: Order) {
-        // The receiver lives in the same struct as this state; it cannot be gone.
+        // Sending can't fail: the receiver belongs to the same courier as this state.
         let _ = self.order_sender.send(order);
     }
 
+    /// Records the end of a message in the journal and removes the message.
     pub(super) fn end_message(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
         self.journal.end(msg, now);
         self.message_ended(now, msg, ended);
     }
 
-    /// The journal has its end.
+    /// Removes a message whose end the journal has recorded, and counts its outcome.
     pub(super) fn message_ended(&mut self, now: Micros, msg: u64, ended: Option<Ended>) {
-        if let Some(held) = self.messages.get(&msg) {
+        if let Some(pending) = self.messages.get(&msg) {
             if let Some(ended) = ended {
-                self.figures.count(ended, held.req.class);
-                self.recent_outcomes.ended(now, &held.req.id, ended);
+                self.figures.count(ended, pending.req.class);
+                self.recent_outcomes.ended(now, &pending.req.id, ended);
             }
-            self.draining.ended(now, &held.req);
+            self.draining.ended(now, &pending.req);
         }
         self.drop_msg(msg);
     }
 
+    /// Removes a message from the core's tables.
     pub(super) fn drop_msg(&mut self, msg: u64) {
-        // Danger: a batch that waits for the answer to a message that is no more would never go.
+        // Otherwise a batch that waits for the answer to the removed message would never be sent.
         self.leave_batch(msg);
-        if let Some(held) = self.messages.remove(&msg) {
-            self.messages_by_id.remove(&held.req.id);
+        if let Some(pending) = self.messages.remove(&msg) {
+            self.messages_by_id.remove(&pending.req.id);
         }
     }
 }
