--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -1,6 +1,6 @@
-//! The core's part in a hand-over to another process of the same courier: it freezes, so that its journal is settled at one
-//! point, and then either goes on as if nothing had been, or has left and only tells how its last calls end. On the other
-//! side a core goes on with what was passed. Who may do what when is [`crate::upgrade::phase`]'s to say.
+//! The core's part in a handover to another process of the same courier. The old core freezes, so that its journal stops
+//! changing. It then either thaws and continues, or hands over and only forwards how its last calls end. The new core
+//! continues from the state that it received. [`crate::upgrade::phase`] decides which process may do what at each stage.
 
 use super::{Answer, End, Notice, PendingMessage, Report};
 use super::{Backend, Core, Courier, Fetch, FinishedFetch, Order};
@@ -12,49 +12,54 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
 
-/// What another process needs beside the journal.
+/// The state that the new process needs beside the journal. It is passed as JSON, also between different versions.
 #[derive(Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The module's names for backends, by front.
-    names: Vec<(u8, String, EndpointId)>,
-    next_name: u32,
-    module: EngineState,
-    /// What discovery has told.
+    /// The decision module's ids of backends, by front and name.
+    #[serde(rename = "names")]
+    endpoint_ids: Vec<(u8, String, EndpointId)>,
+    #[serde(rename = "next_name")]
+    next_endpoint_number: u32,
+    #[serde(rename = "module")]
+    policy: EngineState,
+    /// The lists of backends that discovery returned, by front.
     pub lists: Vec<(u8, ListSnapshot)>,
-    /// Messages that their clients are just being told of.
+    /// Messages whose accepting answer is just being written to their clients.
     pub answering: BTreeSet<u64>,
 }
 
-/// How a call ended that was out when its process left.
+/// The end of a call that was in flight when its process handed over.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct CompletedCall {
-    /// The message.
+    /// Number of the message.
     pub msg: u64,
-    /// How it ended.
+    /// How the call ended.
     pub end: End,
-    /// From its first byte on.
+    /// Time since its first byte was sent.
     pub latency: Micros,
-    /// What the backend told of its load.
+    /// The load figures that the backend reported.
     pub load: Vec<f32>,
-    /// Its last word.
-    pub said: String,
+    /// The text of the backend's reply.
+    #[serde(rename = "said")]
+    pub reply: String,
 }
 
-/// What happened while the core was frozen.
+/// An event that arrived while the core was frozen.
 pub(super) enum Deferred {
     Report(Report),
     Completed(Vec<FinishedFetch>),
     Probed(Event),
 }
 
-/// Whether the core decides.
+/// Whether this core owns the journal and decides.
 pub(super) enum Ownership {
-    /// It does.
+    /// The core decides.
     Active,
-    /// Not now: this waits.
+    /// The core is about to hand over and decides nothing; these events wait.
     Frozen(Vec<Deferred>),
-    /// Never again: another process does, and hears of the calls that are still out, so many; nobody tells it more after the last.
-    HandedOver { to: Option<Sender<CompletedCall>>, out: usize },
+    /// Another process decides for good. The ends of the calls that are still in flight are sent to it; the channel is
+    /// closed after the last.
+    HandedOver { to: Option<Sender<CompletedCall>>, in_flight: usize },
 }
 
 impl Core {
@@ -62,102 +67,106 @@
         matches!(self.mode, Ownership::Active)
     }
 
-    /// Nothing begins and nothing is decided from here on.
+    /// Stops all decisions and the start of fetches; returns the state for the new process.
     fn freeze(&mut self) -> HandoverState {
         self.mode = Ownership::Frozen(Vec::new());
         self.sharing_state.pause();
-        let names = self.endpoint_ids.iter().map(|((front, name), at)| (*front, name.clone(), *at)).collect();
+        let endpoint_ids =
+            self.endpoint_ids.iter().map(|((front, name), at)| (*front, name.clone(), *at)).collect();
         HandoverState {
-            names,
-            next_name: self.next_endpoint_number,
-            module: self.policy.export_state(),
+            endpoint_ids,
+            next_endpoint_number: self.next_endpoint_number,
+            policy: self.policy.export_state(),
             lists: self.register.snapshots(),
             answering: BTreeSet::new(),
         }
     }
 
-    /// As if nothing had been; what waited is taken in.
+    /// Continues after a handover that failed, and processes the events that waited.
     fn thaw(&mut self, now: Micros) {
         let Ownership::Frozen(waited) = std::mem::replace(&mut self.mode, Ownership::Active) else { return };
         self.sharing_state.resume();
-        for later in waited {
-            match later {
-                Deferred::Report(what) => drop(self.report(now, what)),
-                Deferred::Completed(all) => self.done(now, all),
+        for deferred in waited {
+            match deferred {
+                Deferred::Report(report) => drop(self.report(now, report)),
+                Deferred::Completed(fetches) => self.done(now, fetches),
                 Deferred::Probed(event) => self.process_probe_result(now, event),
             }
         }
     }
 
-    /// Another process owns the journal from here on.
+    /// Gives the journal to another process, which receives the ends of the calls that are still in flight.
     fn hand_over(&mut self, to: Sender<CompletedCall>) {
         let begun = |(msg, m): &(&u64, &PendingMessage)| {
             m.in_flight && self.journal.owed().get(*msg).is_some_and(|o| o.open.is_some())
         };
-        let out = self.messages.iter().filter(begun).count();
-        let left = Ownership::HandedOver { to: Some(to).filter(|_| out > 0), out };
-        let Ownership::Frozen(waited) = std::mem::replace(&mut self.mode, left) else { return };
+        let in_flight = self.messages.iter().filter(begun).count();
+        let handed_over = Ownership::HandedOver { to: Some(to).filter(|_| in_flight > 0), in_flight };
+        let Ownership::Frozen(waited) = std::mem::replace(&mut self.mode, handed_over) else { return };
         self.history = None;
-        self.replays.end();
-        for later in waited {
-            if let Deferred::Completed(all) = later {
-                self.tell_over(all);
+        self.replays.stop_all();
+        for deferred in waited {
+            if let Deferred::Completed(fetches) = deferred {
+                self.forward_completed(fetches);
             }
         }
     }
 
-    /// What happens to a core that does not decide.
-    pub(super) fn report_while_inactive(&mut self, what: Report) -> Answer {
-        match what {
+    /// Handles a report while the core does not decide.
+    pub(super) fn report_while_inactive(&mut self, report: Report) -> Answer {
+        match report {
             Report::Begin(_) => return Answer::MayBegin(false),
             Report::Req(_) => return Answer::Refused(self.stay_away()),
             Report::Done { fetch, end, latency, load, reply: said } => {
                 self.complete_while_inactive(vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
-            what => {
+            report => {
                 if let Ownership::Frozen(waited) = &mut self.mode {
-                    waited.push(Deferred::Report(what));
+                    waited.push(Deferred::Report(report));
                 }
             }
         }
         Answer::Acknowledged
     }
 
-    pub(super) fn complete_while_inactive(&mut self, all: Vec<FinishedFetch>) {
+    /// Handles finished fetches while the core does not decide.
+    pub(super) fn complete_while_inactive(&mut self, fetches: Vec<FinishedFetch>) {
         match &mut self.mode {
-            Ownership::Frozen(waited) => waited.push(Deferred::Completed(all)),
-            _ => self.tell_over(all),
+            Ownership::Frozen(waited) => waited.push(Deferred::Completed(fetches)),
+            _ => self.forward_completed(fetches),
         }
     }
 
-    /// A call that had begun is told; of one that had not the other process has never heard.
-    fn tell_over(&mut self, all: Vec<FinishedFetch>) {
-        let Ownership::HandedOver { to, out } = &mut self.mode else { return };
-        for FinishedFetch { fetch, end, latency, load, said } in all {
+    /// Sends the ends of calls to the new process. Fetches that had not begun are left out, since the new process does
+    /// not know of them.
+    fn forward_completed(&mut self, fetches: Vec<FinishedFetch>) {
+        let Ownership::HandedOver { to, in_flight } = &mut self.mode else { return };
+        for FinishedFetch { fetch, end, latency, load, said } in fetches {
             let begun = self.journal.owed().get(&fetch.msg).is_some_and(|owed| owed.open.is_some());
             if begun && self.messages.get_mut(&fetch.msg).is_some_and(|m| std::mem::take(&mut m.in_flight)) {
-                // An error says that the other process is gone; the journal says what may have run.
-                let over = CompletedCall { msg: fetch.msg, end, latency, load, said };
-                let _ = to.as_ref().map(|to| to.send(over));
-                *out = out.saturating_sub(1);
+                // A send error means that the new process is gone; the journal records what may have run.
+                let call = CompletedCall { msg: fetch.msg, end, latency, load, reply: said };
+                let _ = to.as_ref().map(|to| to.send(call));
+                *in_flight = in_flight.saturating_sub(1);
             }
         }
-        if *out == 0 {
+        if *in_flight == 0 {
             *to = None;
         }
     }
 
-    /// Goes on with what another process passed.
-    pub(super) fn import_handover(&mut self, passed: &mut HandoverState) {
-        self.next_endpoint_number = self.next_endpoint_number.max(passed.next_name);
-        for (front, name, at) in passed.names.drain(..) {
+    /// Takes over the state that the old process passed.
+    pub(super) fn import_handover(&mut self, received: &mut HandoverState) {
+        self.next_endpoint_number = self.next_endpoint_number.max(received.next_endpoint_number);
+        for (front, name, at) in received.endpoint_ids.drain(..) {
             self.endpoint_ids.insert((front, name), at);
         }
-        self.policy.import_state(std::mem::take(&mut passed.module));
+        self.policy.import_state(std::mem::take(&mut received.policy));
     }
 
-    /// Takes up what the journal says is owed. Calls that it calls open are still out in the process that handed over.
-    pub(super) fn resume(&mut self, now: Micros, passed: Option<&HandoverState>) {
+    /// Resumes the messages that the journal lists as pending. Calls that the journal has as open are still in flight in
+    /// the process that handed over.
+    pub(super) fn resume(&mut self, now: Micros, received: Option<&HandoverState>) {
         let owed = self.journal.owed().clone();
         let mut events = Vec::new();
         for (id, owed) in owed {
@@ -166,13 +175,13 @@
             }
             let req = owed.req;
             self.messages_by_id.insert(req.id.clone(), id);
-            let over = owed.verdict.is_some();
-            let answering = passed.is_some_and(|p| p.answering.contains(&id));
+            let decided = owed.verdict.is_some();
+            let answering = received.is_some_and(|state| state.answering.contains(&id));
             let msg = PendingMessage {
                 req: req.clone(),
                 attempts: owed.tries as u8,
                 orders_after_answer: answering.then(Vec::new),
-                decided: over,
+                decided,
                 accepted_from_other_client: false,
                 resumed_may_have_run: owed.risk.is_some() || owed.open.is_some(),
                 in_flight: false,
@@ -199,7 +208,7 @@
                     });
                     events.push(Event::StillOut { id: MessageId(id), endpoint: at, sent });
                     let attempt = owed.tries.saturating_sub(1) as u8;
-                    // Only its name matters: the connection is the other process's.
+                    // The address is not used: the connection belongs to the old process.
                     let backend =
                         Arc::new(Backend { name, addr: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)) });
                     let until = req.due;
@@ -221,43 +230,46 @@
 }
 
 impl Courier {
-    /// Nothing begins and nothing is decided until [`Courier::thaw`] or [`Courier::hand_over`]; what another process needs.
+    /// Stops all decisions and the start of fetches until [`Courier::thaw`] or [`Courier::hand_over`]; returns the state
+    /// for the new process.
     pub fn freeze(&self) -> HandoverState {
         self.state().freeze()
     }
 
-    /// Takes service up again.
+    /// Resumes service after a handover that failed.
     pub fn thaw(&self) {
         let now = self.clock.now();
         self.state().thaw(now);
     }
 
-    /// Another process decides from here on; the ends of calls that are out go to `to`.
+    /// Completes the handover: another process decides, and the ends of the calls in flight are sent to `to`.
     pub fn hand_over(&self, to: Sender<CompletedCall>) {
         self.state().hand_over(to);
-        // Danger: the history's thread may be writing. Whoever waits for it may not hold the state.
+        // The state lock is not held here: the history's thread may be writing, and waiting for it with the lock held
+        // would block every thread that needs the core.
         self.history.iter().for_each(|shelf| shelf.let_go());
     }
 
-    /// Whether another process decides.
+    /// Whether this process has handed over.
     pub fn has_handed_over(&self) -> bool {
         matches!(self.state().mode, Ownership::HandedOver { .. })
     }
 
-    /// A call that another process carried out is over.
-    pub fn complete_inherited_call(&self, over: CompletedCall) {
-        let CompletedCall { msg, end, latency, load, said } = over;
+    /// Processes the end of a call that the old process carried out.
+    pub fn complete_inherited_call(&self, call: CompletedCall) {
+        let CompletedCall { msg, end, latency, load, reply } = call;
         let Some(fetch) = self.state().predecessor_fetches.remove(&msg) else { return };
-        self.report(Report::Done { fetch, end, latency, load, reply: said });
+        self.report(Report::Done { fetch, end, latency, load, reply });
     }
 
-    /// The other process is gone: what it had out may have run, and nobody will say so.
+    /// Ends the calls that the old process had in flight, after that process is gone and can't report them. They may
+    /// have taken effect. Returns their number.
     pub fn abandon_inherited_calls(&self) -> usize {
         let lost: Vec<Fetch> = std::mem::take(&mut self.state().predecessor_fetches).into_values().collect();
         let count = lost.len();
         for fetch in lost {
-            let (latency, load, said) = (Micros(0), Vec::new(), String::new());
-            self.report(Report::Done { fetch, end: End::CalledOff, latency, load, reply: said });
+            let (latency, load, reply) = (Micros(0), Vec::new(), String::new());
+            self.report(Report::Done { fetch, end: End::CalledOff, latency, load, reply });
         }
         count
     }
--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -89,7 +89,7 @@
     }
 
     /// Another process decides. What is out keeps its claim, as after a kill.
-    pub(super) fn end(&mut self) {
+    pub(super) fn stop_all(&mut self) {
         self.runs.clear();
         self.planned.clear();
     }
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -140,7 +140,7 @@
             end: End::TurnedAway(Some(Micros(9))),
             latency: Micros(1),
             load: vec![0.5, 2.0],
-            said: "x".into(),
+            reply: "x".into(),
         };
         send(&a, &Frame::Ask { version: 1, process: 2 }, &[], soon()).unwrap();
         send(&a, &Frame::Seats(vec![]), &[session.as_fd(), listener.as_fd()], soon()).unwrap();
