--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -65,8 +65,9 @@
     /// Orders a probe for the decision module. If it can't be ordered, the event of its end is returned at once: an
     /// endpoint counts as half open until its probe ends, and receives no calls meanwhile.
     pub(super) fn probe(&mut self, now: Micros, at: EndpointId) -> Option<Event> {
-        let target =
-            self.endpoint_name(at).and_then(|name| self.register.front(PLATFORM_FRONT)?.destination_of(&name));
+        let target = self
+            .endpoint_name(at)
+            .and_then(|name| self.register.front(PLATFORM_FRONT)?.destination_of(&name));
         let (Some(dest), Some(backend), true) =
             (target, self.backends.get(&at).cloned(), self.neighbours.probes_allowed)
         else {
@@ -95,7 +96,8 @@
             return false;
         }
         self.look_at_hand(now);
-        let listed = self.register.front(PLATFORM_FRONT).is_some_and(|b| b.accepts_calls(&probe.backend.name));
+        let listed =
+            self.register.front(PLATFORM_FRONT).is_some_and(|b| b.accepts_calls(&probe.backend.name));
         let unchanged = self.backends.get(&probe.endpoint).is_some_and(|b| *b == probe.backend);
         let must_wait =
             self.destination_waits.get(&(PLATFORM_FRONT, probe.dest)).is_some_and(|until| now < *until);
