--- a/src/control/shape.rs
+++ b/src/control/shape.rs
@@ -288,8 +288,8 @@
         ("answering", counts.answering),
         ("waiting", counts.waiting),
         ("told_to_wait", counts.told_to_wait),
-        ("out", counts.out),
-        ("notice_owed", counts.notice_owed),
+        ("out", counts.in_flight),
+        ("notice_owed", counts.notice_pending),
     ];
     all.into_iter().map(|(name, n)| (name.to_owned(), n)).collect()
 }
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -1,5 +1,5 @@
-//! Drains at the core: what [`crate::drain`] decides is written down first, then holds for the messages that the core
-//! owns. All counts are taken from these messages when they are asked for.
+//! Drains at the core. What [`crate::drain`] decides is written to disk first and then applied to the messages that the
+//! core owns. All counts are computed from these messages on request.
 
 use super::{Core, Courier, MIN_TIME_TO_BEGIN};
 use crate::api::{DestinationId, Effect, Event, MessageId, Micros};
@@ -12,73 +12,79 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-const FILE: Sealed = Sealed { name: "drains", magic: "indigohold-drains", version: 1 };
-/// Room for that file in the folder that lasts, the one before and the one being written counted.
+const DRAINS_FILE: Sealed = Sealed { name: "drains", magic: "indigohold-drains", version: 1 };
+/// Disk space reserved for the drains file in the persistent folder, enough for the previous file and the new one.
 pub const RESERVED_DISK_BYTES: u64 = 128 * 1024;
-/// The max_retry_after time that a client is told to stay away where the settings name none.
-const LONGEST: Micros = Micros(60_000_000);
+/// The longest time that a client may be told to wait if the settings name none.
+const DEFAULT_MAX_RETRY_AFTER: Micros = Micros(60_000_000);
 /// Fronts are numbered from 0.
 pub(super) const FRONT_COUNT: usize = 2;
 
 /// The core's part in drains.
 pub(super) struct Draining {
     drains: Drains,
-    /// Where they are written down; `None`: nobody can ask for one.
+    /// Folder of the drains file; `None` if no drain can be requested.
     dir: Option<PathBuf>,
+    /// By drain, the ends of its messages, from which its remaining time is estimated.
     ends: BTreeMap<u64, Ends>,
+    /// The effect of each class.
     effects: Vec<Effect>,
+    /// The longest time that a client may be told to wait.
     pub(super) max_retry_after: Micros,
-    own: Option<u16>,
+    /// The class of messages that the courier itself submits; drains do not apply to it.
+    own_class: Option<u16>,
 }
 
-/// How many messages there are, by what they are at.
+/// Numbers of messages by their state.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, serde::Serialize)]
 pub struct Counts {
-    /// All of them.
+    /// All messages.
     pub total: u64,
-    /// Taken on, and the answer that says so is being written.
+    /// Accepted; the answer to the client is being written.
     pub answering: u64,
     /// Waiting to be sent.
     pub waiting: u64,
-    /// Waiting because their destination told to.
+    /// Waiting because their destination demanded it.
     pub told_to_wait: u64,
-    /// A call is out.
-    pub out: u64,
-    /// Decided; the client has not been told yet.
-    pub notice_owed: u64,
+    /// A call is in flight.
+    #[serde(rename = "out")]
+    pub in_flight: u64,
+    /// The end is decided, and the client has not been notified yet.
+    #[serde(rename = "notice_owed")]
+    pub notice_pending: u64,
 }
 
 impl Counts {
-    /// Adds those of another class or destination.
+    /// Adds the counts of another class or destination.
     pub fn add(&mut self, more: &Counts) {
         self.total += more.total;
         self.answering += more.answering;
         self.waiting += more.waiting;
         self.told_to_wait += more.told_to_wait;
-        self.out += more.out;
-        self.notice_owed += more.notice_owed;
+        self.in_flight += more.in_flight;
+        self.notice_pending += more.notice_pending;
     }
 }
 
-/// How far a drain is, by the messages as they are now.
+/// Progress of a drain, computed from the current messages.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Progress {
     /// The drain.
     pub drain: Drain,
-    /// Messages in its scope that are still owed something.
+    /// Messages in its scope that are still pending.
     pub left: Counts,
-    /// The same by class.
+    /// Pending messages by class.
     pub by_class: BTreeMap<u16, Counts>,
-    /// And by destination.
+    /// Pending messages by destination.
     pub by_dest: BTreeMap<u16, Counts>,
-    /// Until when the last of the destinations concerned has told to wait, if any has.
+    /// The latest time until which one of the destinations concerned demanded a wait, if any did.
     pub retry_after_until: Option<Micros>,
-    /// When it should be over; `None`: nothing has ended yet.
+    /// Estimated remaining time; `None` while no message has ended.
     pub estimate: Option<Estimate>,
 }
 
 impl Progress {
-    /// Nothing is left that is owed anything.
+    /// Whether no message in the scope is pending.
     pub fn is_empty(&self) -> bool {
         self.left.total == 0
     }
@@ -90,37 +96,42 @@
 
 impl Draining {
     pub(super) fn new(
-        dir: Option<&Path>, effects: Vec<Effect>, max_retry_after: Option<Micros>, own: Option<u16>,
+        dir: Option<&Path>, effects: Vec<Effect>, max_retry_after: Option<Micros>, own_class: Option<u16>,
     ) -> Draining {
         let mut drains = Drains::default();
         if let Some(dir) = dir {
-            let (read, said) = FILE.read(dir, |body| serde_json::from_slice(body).map_err(|e| e.to_string()));
-            said.iter().for_each(|words| tracing::error!(target: "drain", "{words}"));
+            let (read, errors) =
+                DRAINS_FILE.read(dir, |body| serde_json::from_slice(body).map_err(|e| e.to_string()));
+            errors.iter().for_each(|error| tracing::error!(target: "drain", "{error}"));
             drains = read.unwrap_or_default();
         }
         for drain in drains.on() {
-            tracing::info!(target: "drain", drain = drain.id, "a drain goes on from an earlier life");
+            tracing::info!(target: "drain", drain = drain.id, "a drain continues from an earlier run of the process");
         }
-        let (dir, max_retry_after) = (dir.map(Path::to_owned), max_retry_after.unwrap_or(LONGEST));
-        Draining { drains, dir, ends: BTreeMap::new(), effects, max_retry_after, own }
+        let (dir, max_retry_after) =
+            (dir.map(Path::to_owned), max_retry_after.unwrap_or(DEFAULT_MAX_RETRY_AFTER));
+        Draining { drains, dir, ends: BTreeMap::new(), effects, max_retry_after, own_class }
     }
 
+    /// The refusal of a new req, if it is in the scope of a drain.
     pub(super) fn refusal(&self, now: Micros, req: &Req) -> Option<TurnAway> {
-        if self.own == Some(req.class) {
+        if self.own_class == Some(req.class) {
             return None;
         }
         self.drains.turns_away(now, &marks(req), self.max_retry_after)
     }
 
+    /// Whether no drain forbids that a fetch of this req begins now.
     pub(super) fn may_begin(&self, now: Micros, req: &Req) -> bool {
-        self.own == Some(req.class) || self.drains.may_begin(now, &marks(req), MIN_TIME_TO_BEGIN)
+        self.own_class == Some(req.class) || self.drains.may_begin(now, &marks(req), MIN_TIME_TO_BEGIN)
     }
 
+    /// The next deadline of a drain.
     pub(super) fn next_at(&self) -> Option<Micros> {
         self.drains.next_at()
     }
 
-    /// A message has ended.
+    /// Records the end of a message for the estimates of the drains that cover it.
     pub(super) fn ended(&mut self, now: Micros, req: &Req) {
         for drain in self.drains.on().iter().filter(|d| d.scope.covers(&marks(req))) {
             self.ends.entry(drain.id).or_default().ended(now);
@@ -130,26 +141,27 @@
     fn save(&self, drains: &Drains) -> io::Result<()> {
         let Some(dir) = &self.dir else { return Err(io::ErrorKind::Unsupported.into()) };
         let body = serde_json::to_vec(drains).map_err(io::Error::other)?;
-        FILE.write(dir, &FILE.seal(&body))
+        DRAINS_FILE.write(dir, &DRAINS_FILE.seal(&body))
     }
 
-    /// A change holds once it is written down, and not at all if it can't be.
-    fn change<T>(&mut self, by: impl FnOnce(&mut Drains) -> Result<T, Refusal>) -> Result<T, Refusal> {
+    /// Applies a change once it is written to disk. If it can't be written, nothing changes.
+    fn change<T>(&mut self, apply: impl FnOnce(&mut Drains) -> Result<T, Refusal>) -> Result<T, Refusal> {
         let mut next = self.drains.clone();
-        let done = by(&mut next)?;
+        let result = apply(&mut next)?;
         self.save(&next).map_err(|e| {
-            tracing::error!(target: "drain", "drains can't be written down: {e}");
+            tracing::error!(target: "drain", "the drains file can't be written: {e}");
             Refusal::Disk
         })?;
-        let on = |id: &u64| next.on().iter().any(|d| d.id == *id);
-        self.ends.retain(|id, _| on(id));
+        let is_on = |id: &u64| next.on().iter().any(|d| d.id == *id);
+        self.ends.retain(|id, _| is_on(id));
         self.drains = next;
-        Ok(done)
+        Ok(result)
     }
 }
 
 impl Core {
-    /// Strikes what is due. In a life that begins it also goes on with what an earlier one had begun.
+    /// Ends the pending messages of drains whose deadline has come. When the process starts (`resuming`), it also
+    /// continues with drains whose messages an earlier run had begun to end.
     pub(super) fn apply_due_drains(&mut self, now: Micros, resuming: bool) {
         if !self.is_active() {
             return;
@@ -166,10 +178,10 @@
         for id in due {
             let Some(drain) = self.draining.drains.get(id).cloned() else { continue };
             let mut tally = Tally::default();
-            let own = self.draining.own;
-            let open = |m: &super::PendingMessage| !m.decided && own != Some(m.req.class);
+            let own_class = self.draining.own_class;
+            let open = |m: &super::PendingMessage| !m.decided && own_class != Some(m.req.class);
             let found = self.messages.iter().filter(|(msg, m)| {
-                // What is sent again is owed to nobody.
+                // No client waits for the end of a replayed message.
                 open(m) && !self.replays.contains(**msg) && drain.scope.covers(&marks(&m.req))
             });
             let found: Vec<(u64, u16)> = found.map(|(msg, m)| (*msg, m.req.class)).collect();
@@ -195,16 +207,17 @@
             }
             self.draining.drains.tallied(id, tally);
             let Tally { given_up, handed_back } = tally;
-            tracing::info!(target: "drain", drain = id, given_up, handed_back, "a drain has come to its deadline");
+            tracing::info!(target: "drain", drain = id, given_up, handed_back, "a drain has reached its deadline");
         }
-        // Danger: the deadline holds whether or not the disk takes it. If it does not, the next life finds the deadline
-        // past and strikes what is left then.
+        // The deadline takes effect even if the file can't be written. In that case the next run of the process finds
+        // the deadline past and ends the messages that are left then.
         if let Err(e) = self.draining.save(&self.draining.drains) {
-            tracing::error!(target: "drain", "drains can't be written down: {e}");
+            tracing::error!(target: "drain", "the drains file can't be written: {e}");
         }
         self.feed(now, &events, &mut []);
     }
 
+    /// Computes the progress of a drain from the current messages.
     fn progress(&mut self, now: Micros, drain: Drain) -> Progress {
         let (mut left, mut by_class, mut by_dest) = (Counts::default(), BTreeMap::new(), BTreeMap::new());
         let mut waits: BTreeMap<u16, Micros> = BTreeMap::new();
@@ -219,8 +232,8 @@
                 counts.total += 1;
                 *match held {
                     m if m.orders_after_answer.is_some() => &mut counts.answering,
-                    m if m.decided => &mut counts.notice_owed,
-                    m if m.in_flight && !self.waiting_fetches.contains_key(msg) => &mut counts.out,
+                    m if m.decided => &mut counts.notice_pending,
+                    m if m.in_flight && !self.waiting_fetches.contains_key(msg) => &mut counts.in_flight,
                     _ if told > now => &mut counts.told_to_wait,
                     _ => &mut counts.waiting,
                 } += 1;
@@ -237,11 +250,11 @@
 }
 
 impl Courier {
-    /// Starts a drain, or gives one that is on a new deadline.
+    /// Starts a drain, or sets a new deadline for an active one.
     pub fn drain_start(&self, wish: Wish) -> Result<(Started, Progress), Refusal> {
         let now = self.clock.now();
         let mut state = self.state();
-        // What is due has struck, whoever looks first.
+        // A drain whose deadline has come takes effect before the request, even if no tick has handled it yet.
         state.apply_due_drains(now, false);
         let held = state.messages.values().filter(|m| wish.scope.covers(&marks(&m.req))).count() as u64;
         let ending = state.stop_at.is_some() || !state.is_active();
@@ -255,18 +268,18 @@
         Ok((started, state.progress(now, drain)))
     }
 
-    /// Calls a drain off; service is as before for whatever has not ended.
+    /// Cancels a drain; messages that have not ended continue as before.
     pub fn drain_cancel(&self, id: u64) -> Result<Progress, Refusal> {
-        self.drain_end(id, "a drain is called off", |drains, now, _| drains.cancel(now, id))
+        self.drain_end(id, "a drain is cancelled", |drains, now, _| drains.cancel(now, id))
     }
 
-    /// Takes service up again after a drain that is over.
+    /// Resumes service after a finished drain.
     pub fn drain_close(&self, id: u64) -> Result<Progress, Refusal> {
         self.drain_end(id, "a drain is closed", |drains, now, left| drains.close(now, id, left))
     }
 
     fn drain_end(
-        &self, id: u64, words: &str, by: impl FnOnce(&mut Drains, Micros, u64) -> Result<(), Refusal>,
+        &self, id: u64, log_text: &str, apply: impl FnOnce(&mut Drains, Micros, u64) -> Result<(), Refusal>,
     ) -> Result<Progress, Refusal> {
         let now = self.clock.now();
         let mut state = self.state();
@@ -276,17 +289,17 @@
         state.apply_due_drains(now, false);
         let drain = state.draining.drains.get(id).cloned().ok_or(Refusal::Unknown)?;
         let left = state.progress(now, drain).left.total;
-        state.draining.change(|drains| by(drains, now, left))?;
+        state.draining.change(|drains| apply(drains, now, left))?;
         self.update_closed_fronts(&state);
-        tracing::info!(target: "drain", drain = id, left, "{words}");
+        tracing::info!(target: "drain", drain = id, left, "{log_text}");
         let drain = state.draining.drains.get(id).cloned().ok_or(Refusal::Unknown)?;
         let progress = state.progress(now, drain);
-        // What waited so shortly before the deadline that nothing could begin may go now.
+        // Messages that could not begin any more shortly before the deadline may be sent now.
         state.feed(now, &[], &mut []);
         Ok(progress)
     }
 
-    /// How far the drains are that are on, or were lately called off.
+    /// Progress of the active drains and of those that ended recently.
     pub fn drains(&self) -> Vec<Progress> {
         let now = self.clock.now();
         let mut state = self.state();
@@ -295,7 +308,7 @@
         all.into_iter().map(|drain| state.progress(now, drain)).collect()
     }
 
-    /// How far one drain is.
+    /// Progress of one drain.
     pub fn drain(&self, id: u64) -> Option<Progress> {
         let now = self.clock.now();
         let mut state = self.state();
@@ -303,29 +316,31 @@
         Some(state.progress(now, drain))
     }
 
-    /// Where clients may go that a drain turns away.
+    /// The alternative address for clients that a drain refuses.
     pub fn alternative_address(&self, drain: u64) -> Option<String> {
         self.state().draining.drains.get(drain)?.elsewhere.clone()
     }
 
-    /// A front takes nothing on: its sessions end between requests. Asked for each request, so without the lock.
+    /// Whether a drain makes a front refuse everything; its sessions then end between requests. Read on each request,
+    /// so it does not take the lock.
     pub fn front_closed(&self, front: u8) -> bool {
         self.closed_fronts.get(usize::from(front)).is_some_and(|s| s.load(Ordering::Relaxed))
     }
 
+    /// Copies to the lock-free flags which fronts the drains close.
     pub(super) fn update_closed_fronts(&self, state: &Core) {
-        for (front, shut) in self.closed_fronts.iter().enumerate() {
-            shut.store(state.draining.drains.shuts(front as u8), Ordering::Relaxed);
+        for (front, closed) in self.closed_fronts.iter().enumerate() {
+            closed.store(state.draining.drains.shuts(front as u8), Ordering::Relaxed);
         }
     }
 
-    /// The process has been told to end.
+    /// Whether the process has been asked to stop.
     pub fn is_stopping(&self) -> bool {
         self.state().stop_at.is_some()
     }
 }
 
-/// Flags of all fronts, none shut.
+/// The flags of [`Courier::front_closed`] with no front closed.
 pub(super) fn all_fronts_open() -> [AtomicBool; FRONT_COUNT] {
     [const { AtomicBool::new(false) }; FRONT_COUNT]
 }
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -220,7 +220,7 @@
     let first = site.client().start(&wish(60_000)).unwrap();
     program.kill();
     let (mut program, addr) = site.start();
-    program.line_with("a drain goes on from an earlier life");
+    program.line_with("a drain continues from an earlier run of the process");
     let mut client = site.client();
     let seen = client.drain(first.id).unwrap();
     assert_eq!((seen.state.as_str(), seen.by_ms, seen.total()), ("draining", first.by_ms, 1), "{seen:?}");
