--- a/lab/src/deployments/seen.rs
+++ b/lab/src/deployments/seen.rs
@@ -3,7 +3,7 @@
 use super::Played;
 use indigohold::core::{End, Fetch};
 use indigohold::store::Verdict;
-use indigohold::{Effect, Group, Micros, Settings};
+use indigohold::{DedupGroup, Effect, Micros, Settings};
 use std::collections::{BTreeMap, HashMap};
 
 /// So late a round may be: the emulator looks at the clock so often without another cause.
@@ -92,7 +92,7 @@
     pub fn ordered(&mut self, now: Micros, call: &[Fetch]) {
         let to = &call[0].backend.name;
         let kind = self.lines.get(to).map_or(0, |l| usize::from(l.kind));
-        let most = self.settings.kinds.get(kind).map_or(1, |k| k.bundle_max.max(1));
+        let most = self.settings.kinds.get(kind).map_or(1, |k| k.max_batch_size.max(1));
         self.must(now, call.len() <= most as usize, || format!("{} in a call, {most} at most", call.len()));
         if call.len() > 1 {
             self.played.together += call.len() as u64;
@@ -122,7 +122,7 @@
         self.must(now, line.closed.is_none_or(|at| now <= at + grace), || {
             format!("{id} to {to}, which is closed")
         });
-        let apart = self.settings.kinds.get(usize::from(line.kind)).is_some_and(|k| k.routes_apart);
+        let apart = self.settings.kinds.get(usize::from(line.kind)).is_some_and(|k| k.separate_routes);
         let wait = self.waits.get(&(line.dest, apart.then(|| to.clone()))).copied();
         self.must(now, wait.is_none_or(|until| now >= until), || format!("{id} to {to}, told to wait"));
         let Some(m) = self.msgs.get_mut(&id) else { return };
@@ -141,9 +141,9 @@
             Effect::Unsafe => false,
             Effect::Keyed { group, window } => {
                 let same = match group {
-                    Group::All => true,
-                    Group::Zone => zone(&first) == zone(&to),
-                    Group::Endpoint => first == to,
+                    DedupGroup::All => true,
+                    DedupGroup::Zone => zone(&first) == zone(&to),
+                    DedupGroup::Endpoint => first == to,
                 };
                 same && now < at + window
             }
@@ -165,7 +165,7 @@
         if let (End::TurnedAway(Some(wait)) | End::Spoilt(Some(wait)), Some(line)) =
             (end, self.lines.get(&fetch.backend.name))
         {
-            let apart = self.settings.kinds.get(usize::from(line.kind)).is_some_and(|k| k.routes_apart);
+            let apart = self.settings.kinds.get(usize::from(line.kind)).is_some_and(|k| k.separate_routes);
             let whom = (line.dest, apart.then(|| fetch.backend.name.clone()));
             let until = self.waits.entry(whom).or_default();
             *until = (*until).max(now + wait);
@@ -211,7 +211,7 @@
 
     pub fn noted(&mut self, now: Micros) {
         self.played.asked += 1;
-        self.must(now, self.settings.limits.notes, || "a note, which is not permitted".into());
+        self.must(now, self.settings.limits.gossip, || "a note, which is not permitted".into());
     }
 
     pub fn cancelled(&mut self, now: Micros) {
--- a/lab/src/policies/plain.rs
+++ b/lab/src/policies/plain.rs
@@ -45,7 +45,7 @@
     set: Settings,
     tactic: Tactic,
     rng: Pcg64Mcg,
-    listed: BTreeMap<EndpointId, (DestinationId, Listed)>,
+    listed: BTreeMap<EndpointId, (DestinationId, ListingState)>,
     lines: BTreeMap<DestinationId, Line>,
     items: BTreeMap<MessageId, Item>,
     later: BTreeSet<(Micros, MessageId)>,
@@ -83,7 +83,7 @@
             self.listed.insert(entry.endpoint, (entry.destination, entry.state));
             let line = self.lines.entry(entry.destination).or_default();
             line.endpoints.retain(|e| *e != entry.endpoint);
-            if entry.state == Listed::Ready {
+            if entry.state == ListingState::Ready {
                 line.endpoints.push(entry.endpoint);
                 line.endpoints.sort_unstable();
             }
@@ -122,7 +122,7 @@
         if harmless || safe {
             let wait = self.lines.get(&to).map_or(Micros(0), |l| l.wait_until - now).max(SECOND);
             let most = self.set.limits.max_retry_after.unwrap_or(wait);
-            actions.push(Action::Decline { id, stay_away: wait.min(most) });
+            actions.push(Action::Decline { id, retry_after: wait.min(most) });
         } else {
             actions.push(Action::Fail(id));
         }
@@ -148,15 +148,15 @@
         item.out = false;
         self.busy = self.busy.saturating_sub(1);
         use Outcome::*;
-        if matches!(outcome, Error | Spoilt(_) | Timeout | Reset | Cancelled) {
+        if matches!(outcome, Error | InvalidAnswer(_) | Timeout | Reset | Cancelled) {
             item.risk.get_or_insert((now, endpoint));
         }
         let (to, over, tries) = (item.message.destination, item.over, item.tries);
         let line = self.lines.entry(to).or_default();
-        if let Full(Some(wait)) | Spoilt(Some(wait)) = outcome {
+        if let Refused(Some(wait)) | InvalidAnswer(Some(wait)) = outcome {
             line.wait_until = line.wait_until.max(now + wait);
         }
-        let failed = !matches!(outcome, Ok | Moot);
+        let failed = !matches!(outcome, Ok | NotSent);
         match self.tactic {
             Tactic::Breaker { window, share, open } => {
                 if std::mem::take(&mut line.trial) && failed {
@@ -175,7 +175,7 @@
             }
             Tactic::Aimd { step, cut } => match outcome {
                 Ok => line.rate = line.rate.map(|r| r + step),
-                Full(_) => {
+                Refused(_) => {
                     let lately = line.sent.len().max(1) as f64;
                     line.rate = Some((line.rate.unwrap_or(lately) * cut).max(AIMD_LEAST));
                 }
@@ -189,7 +189,7 @@
         if !self.may_repeat(now, &self.items[&id]) {
             return self.give_up(now, id, actions);
         }
-        if outcome == Moot {
+        if outcome == NotSent {
             self.later.insert((now + Micros(50_000), id));
             return;
         }
@@ -250,9 +250,10 @@
         };
         let class = self.set.classes.get(usize::from(item.message.class.0));
         let fits: Vec<EndpointId> = match (item.risk, class.map(|c| c.effect)) {
-            (Some((_, first)), Some(Effect::Keyed { group: Group::Endpoint | Group::Zone, .. })) => {
-                line.endpoints.iter().copied().filter(|e| *e == first).collect()
-            }
+            (
+                Some((_, first)),
+                Some(Effect::Keyed { group: DedupGroup::Endpoint | DedupGroup::Zone, .. }),
+            ) => line.endpoints.iter().copied().filter(|e| *e == first).collect(),
             _ => line.endpoints.clone(),
         };
         if fits.is_empty() {
@@ -291,19 +292,19 @@
         for event in events {
             match event {
                 Event::Demand(message) => self.take(message, 0, None),
-                Event::Resumed { message, tries, risk } => {
+                Event::Resumed { message, attempts: tries, first_uncertain: risk } => {
                     self.take(message, *tries, *risk);
                     if *tries > 0 && !self.may_repeat(now, &self.items[&message.id]) {
                         self.give_up(now, message.id, actions);
                     }
                 }
                 Event::Returned { .. } => self.returned(now, event, actions),
-                Event::WholeList(entries) | Event::ListChange(entries) | Event::Relisted(entries) => {
+                Event::WholeList(entries) | Event::ListChange(entries) | Event::LocalListChange(entries) => {
                     self.asked = true;
                     self.list(entries);
                 }
                 Event::ListFailed => (self.asked, self.ask_at) = (false, now + SECOND),
-                Event::Hangup(id) => {
+                Event::Withdrawn(id) => {
                     if let Some(item) = self.items.get_mut(id) {
                         item.over = true;
                         if !item.out {
@@ -311,13 +312,13 @@
                         }
                     }
                 }
-                Event::Elapsed(_) => self.alarm_at = None,
+                Event::TimerElapsed(_) => self.alarm_at = None,
                 _ => {}
             }
         }
         if !self.asked && self.ask_at <= now {
             (self.asked, self.ask_at) = (true, now + SECOND);
-            actions.push(Action::Follow);
+            actions.push(Action::Subscribe);
         }
         while let Some((_, id)) = self.ends.first().copied().filter(|(at, _)| *at <= now) {
             self.ends.pop_first();
@@ -349,7 +350,7 @@
     fn may_begin(&self, now: Micros, _message: MessageId, id: EndpointId) -> bool {
         let Some((to, listed)) = self.listed.get(&id) else { return false };
         let waits = self.lines.get(to).is_some_and(|l| l.wait_until > now);
-        *listed == Listed::Ready && !waits
+        *listed == ListingState::Ready && !waits
     }
 
     fn required_wait_until(&self, destination: DestinationId) -> Micros {
--- a/lab/src/virtual_time/life.rs
+++ b/lab/src/virtual_time/life.rs
@@ -7,7 +7,7 @@
 use indigohold::store::home::Memory;
 use indigohold::store::Journal;
 use indigohold::{
-    Class, DecisionEngine, DiscoveryMode, Fade, Kind, Limits, Micros, Rules, Settings, Tenant, Weights,
+    Class, DecisionEngine, DiscoveryMode, Kind, Limits, Micros, Rules, Settings, Tenant, Weights, WorthDecay,
 };
 use std::collections::{HashMap, HashSet, VecDeque};
 
@@ -123,8 +123,8 @@
             Effect::Safe => indigohold::Effect::Safe,
             Effect::Keyed(group, window) => indigohold::Effect::Keyed {
                 group: match group {
-                    Group::All => indigohold::Group::All,
-                    Group::Endpoint => indigohold::Group::Endpoint,
+                    Group::All => indigohold::DedupGroup::All,
+                    Group::Endpoint => indigohold::DedupGroup::Endpoint,
                 },
                 window,
             },
@@ -135,10 +135,10 @@
     Settings {
         senders: scenario.courier.instances as u32,
         classes: scenario.classes.iter().map(class).collect(),
-        kinds: vec![Kind { routes_apart: false, bundle_max: 1 }],
+        kinds: vec![Kind { separate_routes: false, max_batch_size: 1 }],
         tenants: scenario.tenants.iter().map(|t| Tenant { quota_per_s: t.quota }).collect(),
         over_share_worth: None,
-        fade: Fade::Even,
+        worth_decay: WorthDecay::Linear,
         discovery: DiscoveryMode::Subscribe,
         weights: if conf.told_weights { Weights::Nominal } else { Weights::Off },
         report_left: None,
@@ -156,7 +156,7 @@
         limits: Limits {
             cancel: true,
             probes: false,
-            notes: false,
+            gossip: false,
             slots: Some(scenario.courier.slots as u32),
             max_open: Some(scenario.courier.max_open as u32),
             max_attempts: Some(scenario.courier.attempts),
--- a/lab/src/virtual_time/mod.rs
+++ b/lab/src/virtual_time/mod.rs
@@ -618,7 +618,9 @@
                 idle.iter().for_each(|_| self.world.disconnect(endpoint));
             }
             // The worlds here permit neither; what is not sent must be told to be so.
-            Order::Probe(probe) => life.core.probed(self.now, &probe, Outcome::Moot, Micros(0), Vec::new()),
+            Order::Probe(probe) => {
+                life.core.probed(self.now, &probe, Outcome::NotSent, Micros(0), Vec::new())
+            }
             Order::Note { .. } | Order::Nothing => {}
         }
     }
--- a/src/api/decision_engine.rs
+++ b/src/api/decision_engine.rs
@@ -1,4 +1,4 @@
-//! What decides, and what goes from it to the process that goes on in its place.
+//! The interface of a decision engine, and the state that it hands over to the process that replaces its own.
 
 use super::events::{Action, Event};
 use super::ids::{DestinationId, EndpointId, MessageId, Micros};
@@ -6,65 +6,69 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The state of a module, in a form that only a module of the same version understands.
+/// The state of a decision engine, in a form that only an engine of the same version understands.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineState(pub(crate) serde_json::Value);
 
-/// How a life found an endpoint.
+/// The outage state of an endpoint, as a process run last observed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outage {
-    /// It fails, or did at the last look.
+    /// The endpoint fails, or failed at the last attempt or probe.
     Out,
-    /// It is back and cold.
+    /// The endpoint is back and in slow start.
     Cold {
-        /// When it came back, as far as can be guessed.
+        /// The estimated time at which it came back.
         since: Micros,
-        /// The latest moment at which it may have.
+        /// The latest time at which it can have come back.
         back_by: Micros,
     },
 }
 
-/// What decides: [`crate::Sender`], or whatever an emulator compares with it. No I/O, no clock, no threads.
+/// Decides when and where each message is sent: [`crate::Sender`], or another implementation that an emulator compares
+/// with it. An implementation does no I/O, reads no clock and starts no threads.
+///
+/// The `restore_` methods and [`import_state`](DecisionEngine::import_state) are called before the first event.
 pub trait DecisionEngine: Send {
-    /// Takes in what happened at `now` and appends what to do about it.
+    /// Processes the events that happened up to `now` and appends the resulting actions.
     fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>);
-    /// Whether a call of this message may begin at this endpoint, just before its first byte.
+    /// Whether a call with this message may start at this endpoint; asked just before its first byte is sent.
     fn may_begin(&self, now: Micros, message: MessageId, id: EndpointId) -> bool;
-    /// Until when a destination has told to wait; 0: it has not.
+    /// Until when a destination has required callers to wait; 0 if it has not.
     fn required_wait_until(&self, destination: DestinationId) -> Micros;
-    /// A former life was told to wait until then; before anything else has happened.
+    /// Restores a wait that a destination required from an earlier process run.
     fn restore_wait(&mut self, _destination: DestinationId, _until: Micros) {}
-    /// The pace of the first calls to a destination whose limit nobody tells; before anything else has happened.
+    /// Sets the initial send rate for a destination that doesn't publish its rate limit.
     fn restore_send_rate(&mut self, _destination: DestinationId, _per_s: f64) {}
-    /// What was handed in lately by destination, in messages a second.
+    /// The recent rate of submitted messages for each destination, in messages per second.
     fn demand(&self, _now: Micros) -> Vec<(DestinationId, f64)> {
         Vec::new()
     }
-    /// Endpoints that are out, or cold after an outage.
+    /// The endpoints that are out, or in slow start after an outage.
     fn outages(&self, _now: Micros) -> Vec<(EndpointId, Outage)> {
         Vec::new()
     }
-    /// One more with each endpoint that is found out or back.
+    /// A counter that increases each time an endpoint is found to be out or back.
     fn outage_changes(&self) -> u64 {
         0
     }
-    /// A former life found this endpoint so, and so much was handed in for its destination, in messages a second; before anything
-    /// else has happened.
+    /// Restores the outage that an earlier process run observed at an endpoint. `_per_s` is the rate of submitted messages
+    /// for its destination at that time, in messages per second.
     fn restore_outage(&mut self, _id: EndpointId, _outage: Outage, _per_s: f64) {}
-    /// Whether the module keeps away from this endpoint now, as it found it to be out. For overviews.
+    /// Whether the engine has ejected this endpoint because of an outage. Used for overviews.
     fn is_ejected(&self, _id: EndpointId) -> bool {
         false
     }
-    /// What this courier knows of itself, for others; endpoints are named by their addresses.
+    /// The observations of this courier that it shares with its peers. Endpoints are named by their addresses.
     fn facts(&self, _now: Micros) -> Facts {
         Facts::default()
     }
-    /// What couriers apply_beliefs together, from now on; it holds until its own ends.
+    /// Applies the merged view of all couriers. It is valid until its own expiry time.
     fn apply_beliefs(&mut self, _now: Micros, _beliefs: Arc<Beliefs>) {}
-    /// What another process of the same courier goes on with, beside the messages and the list.
+    /// The learnt state that the replacing process of this courier continues with. Messages and the endpoint list are
+    /// handed over separately.
     fn export_state(&self) -> EngineState {
         EngineState::default()
     }
-    /// Goes on with it; before anything else has happened.
-    fn import_state(&mut self, _carried: EngineState) {}
+    /// Continues with the state that [`export_state`](DecisionEngine::export_state) returned in the replaced process.
+    fn import_state(&mut self, _state: EngineState) {}
 }
--- a/src/api/events.rs
+++ b/src/api/events.rs
@@ -1,52 +1,52 @@
-//! What a sender is told, and what it does.
+//! The events that a sender receives and the actions that it requests.
 
 use super::ids::*;
 
-/// A message handed in.
+/// A message that a client submitted for delivery.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
     /// Its id.
     pub id: MessageId,
-    /// Where it goes.
+    /// The destination that it is addressed to.
     pub destination: DestinationId,
     /// Its class.
     pub class: ClassId,
-    /// Whose it is.
+    /// The tenant that it belongs to.
     pub tenant: TenantId,
-    /// What it is about, where order is kept.
+    /// Its ordering key, if its class keeps the order of messages with one key.
     pub key: Option<Key>,
-    /// When it is given up.
+    /// The time at which the sender gives up on it.
     pub due: Micros,
 }
 
-/// State of an endpoint on the list; it says nothing of health.
+/// Listing state of an endpoint in discovery. It says nothing about the endpoint's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Listed {
+pub enum ListingState {
     /// May be sent to.
     Ready,
-    /// Gets nothing new.
+    /// Gets no new calls.
     Draining,
     /// Removed, or never listed.
     #[default]
     Gone,
 }
 
-/// One line of the list of endpoints.
+/// One entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Entry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// The destination that it serves.
     pub destination: DestinationId,
     /// Its kind.
     pub kind: KindId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Its state.
-    pub state: Listed,
-    /// See [`Weights`].
+    /// Its listing state.
+    pub state: ListingState,
+    /// Its weight; [`Weights`](super::Weights) says what it means.
     pub weight: f64,
-    /// Its place among the endpoints of its destination: a higher one is used while no lower one can be.
+    /// Failover priority within the destination: endpoints of a higher rank are used only while none of a lower rank can be.
     pub rank: u16,
 }
 
@@ -57,150 +57,150 @@
     Ok,
     /// Answered with an error; may have taken effect.
     Error,
-    /// Turned away unseen, perhaps with a time to wait.
-    Full(Option<Micros>),
-    /// The answer can't be trusted; may have taken effect. If it told a time to wait, that binds.
-    Spoilt(Option<Micros>),
+    /// Refused without being processed, perhaps with a required wait.
+    Refused(Option<Micros>),
+    /// The answer can't be trusted; the message may have taken effect. A wait that the answer required is kept.
+    InvalidAnswer(Option<Micros>),
     /// No answer in time; may have taken effect or still do so.
     Timeout,
     /// No connection in time; never ran.
     ConnectFailed,
     /// The connection broke; may have taken effect.
     Reset,
-    /// Called off; may have taken effect.
+    /// Cancelled by the sender; may have taken effect.
     Cancelled,
     /// Never sent.
-    Moot,
-    /// Never begun, for a reason of the courier's own: it counts as no attempt.
-    NotBegun,
+    NotSent,
+    /// Never started, for a reason local to the courier. It doesn't count as an attempt.
+    NotStarted,
 }
 
-/// What a sender is told.
+/// An event that a sender receives.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A message was handed in; one final answer is owed.
+    /// A message was submitted. The sender gives it exactly one final answer.
     Demand(Message),
-    /// A message taken on in an earlier life is still owed its end.
+    /// A message that an earlier process run accepted has had no final answer yet.
     Resumed {
-        /// The message; its `due` may be past.
+        /// The message; its `due` time may be past.
         message: Message,
-        /// Attempts made so far.
-        tries: u32,
-        /// The first attempt that may have run: when it was sent, and where to.
-        risk: Option<(Micros, EndpointId)>,
+        /// The number of attempts made so far.
+        attempts: u32,
+        /// The first attempt that may have taken effect: when it was sent, and to which endpoint.
+        first_uncertain: Option<(Micros, EndpointId)>,
     },
     /// An attempt ended.
     Returned {
         /// The message.
         id: MessageId,
-        /// The endpoint tried.
+        /// The endpoint that it was sent to.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Nothing more is owed for the message.
+        /// Whether the message has had its final answer.
         terminal: bool,
-        /// Time since it was sent.
+        /// The time since the attempt was sent.
         latency: Micros,
-        /// Number of the attempt, from 0.
+        /// The number of the attempt, from 0.
         attempt: u8,
-        /// Values named by the settings, where the endpoint told them.
+        /// The endpoint's load report: the values that the settings name, if the endpoint sent them.
         report: Vec<f32>,
     },
     /// A probe ended.
     Probed {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// The time since the probe was sent.
         latency: Micros,
-        /// As in [`Event::Returned`].
+        /// The load report, as in [`Event::Returned`].
         report: Vec<f32>,
     },
-    /// The whole list of endpoints; what is missing is gone. It may be old where it was kept from before.
+    /// The complete endpoint list; an endpoint that is missing is gone. A list restored from storage may be out of date.
     WholeList(Vec<Entry>),
-    /// Changed lines of the list.
+    /// Changed entries of the endpoint list.
     ListChange(Vec<Entry>),
-    /// Changed lines by this courier's own judgement or memory: discovery has not spoken.
-    Relisted(Vec<Entry>),
-    /// Asking for the list failed, or the subscription broke.
+    /// Entries that this courier changed by its own decision or from its stored state, without news from discovery.
+    LocalListChange(Vec<Entry>),
+    /// A request for the list failed, or the subscription broke.
     ListFailed,
     /// The client has withdrawn the message.
-    Hangup(MessageId),
-    /// The answer of a streamed message has begun.
-    UnderWay(MessageId),
-    /// A message that was resumed has a call out, made by the process before; its outcome will come.
-    StillOut {
+    Withdrawn(MessageId),
+    /// The answer of a streamed message has started.
+    AnswerStarted(MessageId),
+    /// A resumed message has a call in flight that the replaced process made; its outcome will follow.
+    CallInFlight {
         /// The message.
         id: MessageId,
-        /// Where the call is.
+        /// The endpoint that the call was sent to.
         endpoint: EndpointId,
-        /// When it was sent.
+        /// When the call was sent.
         sent: Micros,
     },
-    /// An endpoint was restarted while it was left out by hand: it is used again and has nothing warm.
+    /// An endpoint was restarted while an operator had taken it out. It is in use again, and its caches are cold.
     Restarted(EndpointId),
-    /// A timer ran out.
-    Elapsed(TimerToken),
-    /// A note from another sender.
-    PeerNote {
-        /// Who sent it.
+    /// A timer expired.
+    TimerElapsed(TimerToken),
+    /// A gossip message from another sender.
+    PeerGossip {
+        /// The sender of the gossip message.
         from: PeerId,
-        /// What it says.
+        /// The payload.
         bytes: Vec<u8>,
     },
 }
 
-/// What a sender does.
+/// An action that a sender requests.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Start an attempt.
     Try {
         /// The message.
         id: MessageId,
-        /// Where to.
+        /// The endpoint to send it to.
         endpoint: EndpointId,
-        /// Its time-out.
+        /// The time limit of the attempt.
         timeout: Micros,
     },
-    /// Final answer: handed back, harmless to hand in again.
+    /// Final answer: the message is handed back, and the client may safely submit it again.
     Decline {
         /// The message.
         id: MessageId,
-        /// How long the client should stay away.
-        stay_away: Micros,
+        /// How long the client should wait before it submits the message again.
+        retry_after: Micros,
     },
-    /// Final answer: given up, nothing promised.
+    /// Final answer: the message is given up, and an attempt may have taken effect.
     Fail(MessageId),
     /// Stop waiting for an attempt.
-    CallOff {
+    CancelAttempt {
         /// The message.
         id: MessageId,
-        /// Number of the attempt.
+        /// The number of the attempt.
         attempt: u8,
     },
-    /// Check an endpoint.
+    /// Probe an endpoint.
     Probe(EndpointId),
-    /// Ask for [`Event::Elapsed`].
+    /// Request an [`Event::TimerElapsed`].
     SetTimer {
-        /// From now.
+        /// The delay from now.
         after: Micros,
-        /// Its name.
+        /// The token that the event returns.
         token: TimerToken,
     },
-    /// Subscribe to changes of the list.
-    Follow,
-    /// Ask for the whole list once.
+    /// Subscribe to changes of the endpoint list.
+    Subscribe,
+    /// Request the complete endpoint list once.
     Fetch,
-    /// Send a note to one sender, or to all of them.
-    Note {
-        /// To whom; `None`: to all.
+    /// Send a gossip message to one sender, or to all of them.
+    SendGossip {
+        /// The recipient; `None` for all senders.
         to: Option<PeerId>,
-        /// What it says.
+        /// The payload.
         bytes: Vec<u8>,
     },
-    /// Close idle connections to an endpoint.
-    LetGo(EndpointId),
-    /// A line for the log.
+    /// Close the idle connections to an endpoint.
+    CloseIdleConnections(EndpointId),
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/api/ids.rs
+++ b/src/api/ids.rs
@@ -1,25 +1,25 @@
-//! Time, and the names of things.
+//! Time values and the ids of messages, endpoints and peers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, Sub};
 
-/// A moment or a length of time, in whole microseconds. Sums and differences saturate.
+/// A point in time or a duration, in whole microseconds. Additions and subtractions saturate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Micros(pub u64);
 
 impl Micros {
-    /// In seconds, for rates.
+    /// The value in seconds, for rate calculations.
     pub fn secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
-    /// From seconds; negative and undefined values become 0.
+    /// Converts from seconds. Negative values and NaN become 0.
     pub fn from_secs(secs: f64) -> Micros {
         Micros((secs * 1e6) as u64)
     }
-    /// So many times as long.
-    pub fn scale(self, by: f64) -> Micros {
-        Micros((self.0 as f64 * by) as u64)
+    /// The duration multiplied by a factor.
+    pub fn scale(self, factor: f64) -> Micros {
+        Micros((self.0 as f64 * factor) as u64)
     }
 }
 
@@ -46,43 +46,43 @@
 }
 
 ids! {
-    /// A message; never comes twice.
+    /// A message; an id is never reused.
     MessageId(u64);
-    /// An outside destination.
+    /// A partner's destination.
     DestinationId(u16);
-    /// A class of message: its position in [`Settings::classes`].
+    /// A class of message: its position in [`Settings::classes`](super::Settings::classes).
     ClassId(u16);
-    /// A tenant: its position in [`Settings::tenants`].
+    /// A tenant: its position in [`Settings::tenants`](super::Settings::tenants).
     TenantId(u16);
-    /// A zone: its position in the settings' list.
+    /// A zone: its position in the list of zones in the settings.
     ZoneId(u16);
-    /// A kind of destination: its position in [`Settings::kinds`].
+    /// A kind of destination: its position in [`Settings::kinds`](super::Settings::kinds).
     KindId(u8);
-    /// What messages that keep their order are about.
+    /// An ordering key: messages with one key are delivered in order if their class requires it.
     Key(u64);
-    /// Another sender's number.
+    /// The number of another sender.
     PeerId(u16);
-    /// A timer's name, chosen by the sender.
+    /// The token of a timer, chosen by the sender.
     TimerToken(u64);
 }
 
 /// One endpoint of a destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId {
-    /// Address, first byte first.
+    /// The IPv4 address in network byte order.
     pub addr: [u8; 4],
-    /// Port.
+    /// The TCP port.
     pub port: u16,
 }
 
 impl EndpointId {
-    /// Address and port as six bytes.
+    /// Encodes address and port as six bytes in network byte order.
     pub fn bytes(self) -> [u8; 6] {
         let ([a, b, c, d], [p, q]) = (self.addr, self.port.to_be_bytes());
         [a, b, c, d, p, q]
     }
 
-    /// Reads what [`EndpointId::bytes`] wrote; `None` for anything else.
+    /// Decodes the output of [`EndpointId::bytes`]; `None` if the length differs.
     pub fn from_bytes(bytes: &[u8]) -> Option<EndpointId> {
         let [a, b, c, d, p, q] = <[u8; 6]>::try_from(bytes).ok()?;
         Some(EndpointId { addr: [a, b, c, d], port: u16::from_be_bytes([p, q]) })
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,4 +1,4 @@
-//! The interface: what a sender is told and what it may do. Types only; every decision is in `src/policy/`.
+//! The types of the decision engine's interface: settings, events and actions. The decisions are in `src/policy/`.
 
 mod decision_engine;
 mod events;
--- a/src/api/settings.rs
+++ b/src/api/settings.rs
@@ -1,26 +1,26 @@
-//! What a sender is given at its start.
+//! The settings that a sender is created with.
 
 use super::ids::Micros;
 
-/// What a repeat of a message of this class can do.
+/// The effect of delivering a message of a class more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Harmless.
+    /// A repeat is harmless.
     Safe,
-    /// Dropped by the endpoints of `group` for `window` from the first attempt that may have run.
+    /// The endpoints of `group` drop a repeat within `window` from the first attempt that may have taken effect.
     Keyed {
-        /// Who remembers the key.
-        group: Group,
-        /// For how long.
+        /// The endpoints that remember the deduplication key.
+        group: DedupGroup,
+        /// How long they remember it.
         window: Micros,
     },
-    /// Takes effect again.
+    /// A repeat takes effect again.
     Unsafe,
 }
 
-/// The endpoints of a destination that drop a repeat.
+/// The endpoints of a destination that drop a repeat of an earlier attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Group {
+pub enum DedupGroup {
     /// All of them.
     All,
     /// Those in the zone of the earlier attempt.
@@ -29,133 +29,134 @@
     Endpoint,
 }
 
-/// How worth falls after the aim.
+/// How the worth of a message falls after its latency target ([`Class::aim`]).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fade {
-    /// Evenly, down to the late worth at the deadline.
-    Even,
-    /// By half with each further aim, not under the late worth.
-    ByHalf,
+pub enum WorthDecay {
+    /// Linearly, down to the late worth at the deadline.
+    Linear,
+    /// Halves with each further `aim` that passes, but doesn't fall below the late worth.
+    Halving,
 }
 
-/// How the list of endpoints comes.
+/// How the endpoint list is obtained from discovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes come by themselves.
+    /// Discovery pushes changes without being asked.
     Push,
-    /// Only after [`Action::Follow`] or [`Action::Fetch`].
+    /// Discovery sends the list only after [`Action::Subscribe`](super::Action::Subscribe) or
+    /// [`Action::Fetch`](super::Action::Fetch).
     Subscribe,
 }
 
 /// What an endpoint's listed weight means.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// It has no meaning.
     Off,
-    /// The calls a second that the destination (or route) takes from all senders.
+    /// The calls per second that the destination (or route) accepts from all senders together.
     Nominal,
-    /// The same, up to half too high or too low.
+    /// The same, with an error of up to one half in either direction.
     Rough,
 }
 
 /// A class of message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Delivered within this time it earns its full worth.
+    /// The latency target: a message delivered within this time earns its full worth.
     pub aim: Micros,
-    /// How long it may be delivered, from when it was first handed in.
+    /// How long after its first submission a message may still be delivered.
     pub deadline: Micros,
-    /// Worth of one message.
+    /// The worth of one delivered message.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// The share of the worth that is left at the deadline.
     pub late_worth: f64,
-    /// What a repeat can do.
+    /// The effect of a repeated delivery.
     pub effect: Effect,
-    /// Messages with one key take turns.
+    /// Messages with the same key are delivered one at a time, in order.
     pub in_order: bool,
 }
 
 /// A kind of destination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Kind {
-    /// Endpoints are separate routes, each with its own limit, pace and outages.
-    pub routes_apart: bool,
-    /// Messages in one call at most.
-    pub bundle_max: u32,
+    /// Each endpoint is a separate route with its own rate limit, send rate and outages.
+    pub separate_routes: bool,
+    /// The maximum number of messages in one call.
+    pub max_batch_size: u32,
 }
 
 /// A tenant.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Messages a second, over all senders, within its share.
+    /// The tenant's quota over all senders, in messages per second.
     pub quota_per_s: Option<f64>,
 }
 
-/// Figures of the rules. `None`: that rule is not set here.
+/// The parameters of the platform's rules. `None`: the rule doesn't apply here.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
-    /// A final answer still counts this long after a message's time is up.
+    /// How long after a message's due time a final answer still counts.
     pub answer_slack: Option<Micros>,
-    /// Share of its capacity that a destination has at least when it returns from an outage.
+    /// The minimum share of its capacity that a destination has when it returns from an outage.
     pub cold_share: Option<f64>,
-    /// By when it has all of it.
+    /// How long after its return a destination has its full capacity.
     pub cold: Option<Micros>,
-    /// Sent more than this multiple of its present capacity ...
+    /// A cold destination fails again if it receives more than this multiple of its current capacity for `tip_after`.
     pub overload_factor: Option<f64>,
-    /// ... for this long, a cold destination falls over.
+    /// How long the overload of `overload_factor` must last before a cold destination fails again.
     pub tip_after: Option<Micros>,
-    /// How long a key rests after an attempt that may still run.
+    /// How long no message with the same key is sent after an attempt that may still be running.
     pub key_quiet: Option<Micros>,
-    /// In [`DiscoveryMode::Subscribe`]: the longest time without a subscription or a question.
+    /// In [`DiscoveryMode::Subscribe`]: the maximum time without a subscription or a request for the list.
     pub must_ask_in: Option<Micros>,
 }
 
-/// What the site allows.
+/// What the deployment permits, and its limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// [`Action::CallOff`] is allowed.
+    /// [`Action::CancelAttempt`](super::Action::CancelAttempt) is allowed.
     pub cancel: bool,
-    /// [`Action::Probe`] is allowed.
+    /// [`Action::Probe`](super::Action::Probe) is allowed.
     pub probes: bool,
-    /// [`Action::Note`] is allowed.
-    pub notes: bool,
-    /// Calls out at once.
+    /// [`Action::SendGossip`](super::Action::SendGossip) is allowed.
+    pub gossip: bool,
+    /// The maximum number of concurrent calls.
     pub slots: Option<u32>,
-    /// Messages held at once; more are turned away before the sender.
+    /// The maximum number of messages held at once. Further ones are refused before they reach the sender.
     pub max_open: Option<u32>,
-    /// Attempts for one message.
+    /// The maximum number of attempts for one message.
     pub max_attempts: Option<u32>,
-    /// The longest time to stay away that a client heeds.
+    /// The longest retry-after time that clients obey.
     pub max_retry_after: Option<Micros>,
 }
 
-/// All that a sender is given at its start.
+/// All settings that a sender is created with.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Senders of this service, this one counted.
+    /// The number of senders of this service, this one included.
     pub senders: u32,
-    /// Classes of message.
+    /// The message classes; a [`ClassId`](super::ClassId) is a position in this list.
     pub classes: Vec<Class>,
-    /// Kinds of destination.
+    /// The kinds of destination; a [`KindId`](super::KindId) is a position in this list.
     pub kinds: Vec<Kind>,
-    /// Tenants; may be empty.
+    /// The tenants; may be empty. A [`TenantId`](super::TenantId) is a position in this list.
     pub tenants: Vec<Tenant>,
-    /// Worth of a message beyond its tenant's share, as a part of its worth.
+    /// The worth of a message beyond its tenant's quota, as a share of its normal worth.
     pub over_share_worth: Option<f64>,
-    /// How worth falls after the aim.
-    pub fade: Fade,
-    /// How the list of endpoints comes.
+    /// How the worth of a message falls after its latency target.
+    pub worth_decay: WorthDecay,
+    /// How the endpoint list is obtained.
     pub discovery: DiscoveryMode,
-    /// What listed weights mean.
+    /// The meaning of listed weights.
     pub weights: Weights,
-    /// Position of "share of the limit that is left" in a load report.
+    /// The position of the remaining share of the rate limit in a load report.
     pub report_left: Option<usize>,
-    /// Position of "calls a second that the limit allows" in a load report.
+    /// The position of the rate limit, in calls per second, in a load report.
     pub report_limit: Option<usize>,
-    /// Shortest time between two rounds.
+    /// The minimum time between two decision rounds.
     pub period: Micros,
-    /// Figures of the rules.
+    /// The parameters of the platform's rules.
     pub rules: Rules,
-    /// What the site allows.
+    /// What the deployment permits, and its limits.
     pub limits: Limits,
 }
--- a/src/bin/indigohold-benchlink/wire.rs
+++ b/src/bin/indigohold-benchlink/wire.rs
@@ -1,7 +1,7 @@
 //! The binary wire: big-endian frames of records, as bytes in and bytes out.
 
 use indigohold::{
-    Action, ClassId, DestinationId, EndpointId, Entry, Event, Key, KindId, Listed, Message, MessageId,
+    Action, ClassId, DestinationId, EndpointId, Entry, Event, Key, KindId, ListingState, Message, MessageId,
     Micros, Outcome, PeerId, TenantId, TimerToken, ZoneId,
 };
 use std::collections::BTreeMap;
@@ -79,12 +79,12 @@
     Ok(match code {
         10 => Outcome::Ok,
         20 => Outcome::Error,
-        30 => Outcome::Full((note > 0).then(|| Micros(u64::from(note) * 1000))),
+        30 => Outcome::Refused((note > 0).then(|| Micros(u64::from(note) * 1000))),
         40 => Outcome::Timeout,
         50 => Outcome::ConnectFailed,
         60 => Outcome::Reset,
         70 => Outcome::Cancelled,
-        80 => Outcome::Moot,
+        80 => Outcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
@@ -94,9 +94,9 @@
     let _up_since = r.u64()?;
     let zone = ZoneId(r.u16()?);
     let state = match r.u8()? {
-        1 => Listed::Gone,
-        2 => Listed::Ready,
-        3 => Listed::Draining,
+        1 => ListingState::Gone,
+        2 => ListingState::Ready,
+        3 => ListingState::Draining,
         other => return Err(format!("Table: unknown mode {other}")),
     };
     let destination = DestinationId(r.u16()?);
@@ -177,7 +177,7 @@
         }
         10 => {
             r.what = "Hangup";
-            Event::Hangup(MessageId(r.u64()?))
+            Event::Withdrawn(MessageId(r.u64()?))
         }
         6 => {
             r.what = "UnderWay";
@@ -185,17 +185,17 @@
             let _attempt = r.u8()?;
             r.endpoint()?;
             r.u32()?;
-            Event::UnderWay(id)
+            Event::AnswerStarted(id)
         }
         3 => {
             r.what = "PeerData";
             let from = PeerId(r.u16()?);
             let n = usize::from(r.u16()?);
-            Event::PeerNote { from, bytes: r.take(n)?.to_vec() }
+            Event::PeerGossip { from, bytes: r.take(n)?.to_vec() }
         }
         8 => {
             r.what = "Elapsed";
-            Event::Elapsed(TimerToken(r.u64()?))
+            Event::TimerElapsed(TimerToken(r.u64()?))
         }
         4 => {
             r.what = "PingResult";
@@ -267,21 +267,23 @@
             Action::Try { id, endpoint, timeout } => {
                 self.record(1, instance, &[&id.0.to_be_bytes(), &at(endpoint), &span(timeout)]);
             }
-            Action::Decline { id, stay_away } => {
-                self.record(2, instance, &[&id.0.to_be_bytes(), &span(stay_away)]);
+            Action::Decline { id, retry_after } => {
+                self.record(2, instance, &[&id.0.to_be_bytes(), &span(retry_after)]);
             }
             Action::Fail(id) => self.record(3, instance, &[&id.0.to_be_bytes()]),
-            Action::CallOff { id, attempt } => self.record(4, instance, &[&id.0.to_be_bytes(), &[*attempt]]),
+            Action::CancelAttempt { id, attempt } => {
+                self.record(4, instance, &[&id.0.to_be_bytes(), &[*attempt]])
+            }
             Action::SetTimer { after, token } => {
                 self.record(5, instance, &[&span(after), &token.0.to_be_bytes()]);
             }
             Action::Probe(endpoint) => self.record(6, instance, &[&at(endpoint)]),
-            Action::LetGo(endpoint) => self.record(7, instance, &[&at(endpoint)]),
-            Action::Note { to, bytes } => {
+            Action::CloseIdleConnections(endpoint) => self.record(7, instance, &[&at(endpoint)]),
+            Action::SendGossip { to, bytes } => {
                 self.text(8, instance, &to.map_or(u16::MAX, |p| p.0).to_be_bytes(), bytes);
             }
             Action::Log(words) => self.text(9, instance, &[], words.as_bytes()),
-            Action::Follow => self.record(11, instance, &[&[1]]),
+            Action::Subscribe => self.record(11, instance, &[&[1]]),
             Action::Fetch => self.record(12, instance, &[]),
         }
     }
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -17,11 +17,11 @@
                 Action::Try { id, endpoint, timeout } => {
                     tries.push(Try { msg: id.0, at: endpoint, cap: timeout })
                 }
-                Action::Decline { id, stay_away } => {
-                    self.verdict(now, id.0, Verdict::HandedBack(stay_away), submitted);
+                Action::Decline { id, retry_after } => {
+                    self.verdict(now, id.0, Verdict::HandedBack(retry_after), submitted);
                 }
                 Action::Fail(id) => self.verdict(now, id.0, Verdict::GivenUp, submitted),
-                Action::CallOff { id, attempt } => match self.leave_line(id.0) {
+                Action::CancelAttempt { id, attempt } => match self.leave_line(id.0) {
                     Some(event) => unsent_events.push(event),
                     None => self.order(Order::Cancel { msg: id.0, attempt }),
                 },
@@ -29,15 +29,15 @@
                     let at = now + after;
                     self.next_timer_at = Some(self.next_timer_at.map_or(at, |a| a.min(at)));
                 }
-                Action::Follow | Action::Fetch => self.order(Order::WatchList),
-                Action::LetGo(endpoint) => {
+                Action::Subscribe | Action::Fetch => self.order(Order::WatchList),
+                Action::CloseIdleConnections(endpoint) => {
                     if let Some(backend) = self.backends.get(&endpoint) {
                         self.order(Order::CloseIdle(backend.clone()));
                     }
                 }
                 Action::Log(text) => tracing::info!(target: "decisions", "{text}"),
                 Action::Probe(endpoint) => unsent_events.extend(self.probe(now, endpoint)),
-                Action::Note { to, bytes } => self.note(to, &bytes),
+                Action::SendGossip { to, bytes } => self.note(to, &bytes),
             }
         }
         for batch in self.batches.of_one_turn(tries) {
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -203,7 +203,7 @@
                     }
                 };
                 self.verdict(now, msg, verdict, &mut []);
-                events.push(Event::Hangup(MessageId(msg)));
+                events.push(Event::Withdrawn(MessageId(msg)));
             }
             self.draining.drains.tallied(id, tally);
             let Tally { given_up, handed_back } = tally;
--- a/src/core/ending.rs
+++ b/src/core/ending.rs
@@ -112,13 +112,13 @@
         let (outcome, over) = match end {
             End::Delivered => (Outcome::Ok, true),
             End::Failed => (Outcome::Error, false),
-            End::Spoilt(wait) => (Outcome::Spoilt(wait), false),
-            End::TurnedAway(wait) => (Outcome::Full(wait), false),
-            End::Unsent => (Outcome::Moot, false),
+            End::Spoilt(wait) => (Outcome::InvalidAnswer(wait), false),
+            End::TurnedAway(wait) => (Outcome::Refused(wait), false),
+            End::Unsent => (Outcome::NotSent, false),
             End::NotBegun => (self.not_begun(fetch.msg), false),
-            End::Over | End::Rejected => (Outcome::Moot, true),
+            End::Over | End::Rejected => (Outcome::NotSent, true),
             // A machine that only an old list names says nothing of its destination.
-            End::NotConnected if heard == CallReport::AsUnsent => (Outcome::Moot, false),
+            End::NotConnected if heard == CallReport::AsUnsent => (Outcome::NotSent, false),
             End::NotConnected => (Outcome::ConnectFailed, false),
             End::Broke => (Outcome::Reset, false),
             End::TimedOut => (Outcome::Timeout, false),
@@ -168,6 +168,6 @@
         if let Some(held) = self.messages.get_mut(&msg) {
             held.attempts = held.attempts.wrapping_sub(1);
         }
-        Outcome::NotBegun
+        Outcome::NotStarted
     }
 }
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -203,10 +203,10 @@
                     let at = self.intern(req.front, &name);
                     events.push(Event::Resumed {
                         message: super::message(id, &req),
-                        tries: owed.tries,
-                        risk,
+                        attempts: owed.tries,
+                        first_uncertain: risk,
                     });
-                    events.push(Event::StillOut { id: MessageId(id), endpoint: at, sent });
+                    events.push(Event::CallInFlight { id: MessageId(id), endpoint: at, sent });
                     let attempt = owed.tries.saturating_sub(1) as u8;
                     // The address is not used: the connection belongs to the old process.
                     let backend =
@@ -219,8 +219,8 @@
                     let risk = owed.risk.map(|(at, name)| (at, self.intern(req.front, &name)));
                     events.push(Event::Resumed {
                         message: super::message(id, &req),
-                        tries: owed.tries,
-                        risk,
+                        attempts: owed.tries,
+                        first_uncertain: risk,
                     });
                 }
             }
--- a/src/core/listing.rs
+++ b/src/core/listing.rs
@@ -1,7 +1,7 @@
 //! What the register says reaches the module and the fronts; names of backends, and those left out by hand.
 
 use super::{returned, Backend, Core, EndpointState, Order, PLATFORM_FRONT};
-use crate::api::{DestinationId, EndpointId, Entry, Event, KindId, Listed, Micros, Outcome, ZoneId};
+use crate::api::{DestinationId, EndpointId, Entry, Event, KindId, ListingState, Micros, Outcome, ZoneId};
 use crate::register::trust::CallEnd;
 use crate::register::{EndpointChange, RegistryEffects};
 use std::sync::Arc;
@@ -67,10 +67,10 @@
                 kind: KindId(line.kind),
                 zone: ZoneId(line.zone),
                 state: match line.state {
-                    EndpointState::Up if ejected => Listed::Draining,
-                    EndpointState::Up => Listed::Ready,
-                    EndpointState::Draining => Listed::Draining,
-                    EndpointState::Gone => Listed::Gone,
+                    EndpointState::Up if ejected => ListingState::Draining,
+                    EndpointState::Up => ListingState::Ready,
+                    EndpointState::Draining => ListingState::Draining,
+                    EndpointState::Gone => ListingState::Gone,
                 },
                 weight: line.weight,
                 rank: line.rank,
@@ -97,12 +97,12 @@
                 self.start(now, fetch, cap);
             } else {
                 // Danger: a call whose message has ended meanwhile would hold its slot for ever.
-                events.push(returned(&fetch, Outcome::Moot, true, Micros(0), Vec::new()));
+                events.push(returned(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
                 self.trust(now, &fetch, CallEnd::Unsent, &mut events);
             }
         }
         if !lines.is_empty() {
-            events.insert(0, Event::Relisted(lines));
+            events.insert(0, Event::LocalListChange(lines));
         }
         events
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -170,7 +170,7 @@
         let draining = Draining::new(options.drain_dir.as_deref(), effects, longest, options.own_class);
         let (out, orders) = crossbeam_channel::unbounded();
         let next_msg = journal.owed().keys().next_back().map_or(0, |m| m + 1).max(now.0);
-        let batches = Batches::new(settings.kinds.iter().map(|k| k.bundle_max).collect());
+        let batches = Batches::new(settings.kinds.iter().map(|k| k.max_batch_size).collect());
         let max_open = settings.limits.max_open.map_or(usize::MAX, |m| m as usize);
         let mut core = Core {
             policy: sender,
@@ -188,7 +188,7 @@
             batches,
             waiting_fetches: BTreeMap::new(),
             draining,
-            neighbours: ProbesAndNotes::new(settings.limits.probes, settings.limits.notes),
+            neighbours: ProbesAndNotes::new(settings.limits.probes, settings.limits.gossip),
             sharing_state: sharing::FleetExchange::default(),
             mode: Ownership::Active,
             destination_waits: Waits::new(),
@@ -251,7 +251,7 @@
         self.start_next_replay(now);
         if self.next_timer_at.is_some_and(|at| at <= now) {
             self.next_timer_at = None;
-            self.feed(now, &[Event::Elapsed(TimerToken(0))], &mut []);
+            self.feed(now, &[Event::TimerElapsed(TimerToken(0))], &mut []);
         }
         let soon = now + Micros(TICK_INTERVAL_US);
         self.next_timer_at.map_or(soon, |at| at.min(soon))
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -71,12 +71,12 @@
         let (Some(dest), Some(backend), true) =
             (target, self.backends.get(&at).cloned(), self.neighbours.probes_allowed)
         else {
-            return Some(probe_event(at, Outcome::Moot, Micros(0), Vec::new()));
+            return Some(probe_event(at, Outcome::NotSent, Micros(0), Vec::new()));
         };
         if self.neighbours.outstanding.len() >= MAX_OUTSTANDING_PROBES
             || !self.neighbours.outstanding.insert(at)
         {
-            return Some(probe_event(at, Outcome::Moot, Micros(0), Vec::new()));
+            return Some(probe_event(at, Outcome::NotSent, Micros(0), Vec::new()));
         }
         self.order(Order::Probe(Probe { endpoint: at, backend, dest, ordered_at: now }));
         None
@@ -118,7 +118,7 @@
             // The process that took over the decision module treats this probe as not sent.
             Ownership::HandedOver { .. } => return,
         }
-        if let Outcome::Full(Some(wait)) = outcome {
+        if let Outcome::Refused(Some(wait)) = outcome {
             // The decision module ignores the wait in the outcome of a probe. Without being told here it would keep
             // ordering calls that are stopped just before their first byte, until their messages had no attempt left.
             self.heard_wait(now, PLATFORM_FRONT, probe.dest, wait);
@@ -146,7 +146,7 @@
         if !self.neighbours.notes_allowed || !self.is_active() {
             return false;
         }
-        self.feed(now, &[Event::PeerNote { from, bytes: at.bytes().to_vec() }], &mut []);
+        self.feed(now, &[Event::PeerGossip { from, bytes: at.bytes().to_vec() }], &mut []);
         true
     }
 }
--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -3,7 +3,7 @@
 //! history just before the first byte, and the claim is closed once the call is over. The journal never hears of it.
 
 use super::{message, returned, Core, End, FinishedFetch, PendingMessage, Req};
-use crate::api::{Class, Effect, Event, Group, MessageId, Micros, Outcome, Settings};
+use crate::api::{Class, DedupGroup, Effect, Event, MessageId, Micros, Outcome, Settings};
 use crate::history::keeper::Keeper;
 use crate::history::reading::World;
 use crate::history::replay::{Gate, Life, Live, Not, Order, Run};
@@ -107,7 +107,7 @@
 fn group(classes: &[Class], register: &Registry, dest: u16, backend: &str, class: u16) -> bool {
     let books = || (0..2).filter_map(|front| register.front(front));
     match effect(classes, class) {
-        Effect::Keyed { group: Group::All, .. } => books().any(|b| b.has_destination(dest)),
+        Effect::Keyed { group: DedupGroup::All, .. } => books().any(|b| b.has_destination(dest)),
         _ => books().any(|b| b.accepts_calls(backend)),
     }
 }
@@ -229,7 +229,7 @@
                 due = due.min(begun + window.scale(0.98));
                 // Where not all of them remember the key the module must know which do. It then counts as a repeat, of which
                 // the module sends few where little else is sent.
-                if group != Group::All && !kept.first.1.is_empty() {
+                if group != DedupGroup::All && !kept.first.1.is_empty() {
                     risk = Some((begun, self.intern(kept.front, &kept.first.1)));
                 }
             }
@@ -265,7 +265,7 @@
         self.replays.ones.insert(msg, One { order: id, number, claimed: false, passed: false });
         let message = message(msg, &req);
         let event = match risk {
-            Some(_) => Event::Resumed { message, tries: 1, risk },
+            Some(_) => Event::Resumed { message, attempts: 1, first_uncertain: risk },
             None => Event::Demand(message),
         };
         self.feed(now, &[event], &mut [(msg, None)]);
@@ -281,7 +281,7 @@
     /// It could not go at once, or not any more: it leaves the module.
     fn withdraw(&mut self, now: Micros, msg: u64) {
         let mut events: Vec<Event> = self.leave_line(msg).into_iter().collect();
-        events.push(Event::Hangup(MessageId(msg)));
+        events.push(Event::Withdrawn(MessageId(msg)));
         self.settle(now, msg, None);
         self.feed(now, &events, &mut []);
     }
@@ -315,13 +315,13 @@
         let outcome = match end {
             End::Delivered => Outcome::Ok,
             End::Failed => Outcome::Error,
-            End::Spoilt(wait) => Outcome::Spoilt(wait),
-            End::TurnedAway(wait) => Outcome::Full(wait),
+            End::Spoilt(wait) => Outcome::InvalidAnswer(wait),
+            End::TurnedAway(wait) => Outcome::Refused(wait),
             End::NotConnected => Outcome::ConnectFailed,
             End::Broke => Outcome::Reset,
             End::TimedOut => Outcome::Timeout,
             End::CalledOff => Outcome::Cancelled,
-            End::Unsent | End::NotBegun | End::Over | End::Rejected => Outcome::Moot,
+            End::Unsent | End::NotBegun | End::Over | End::Rejected => Outcome::NotSent,
         };
         if let End::TurnedAway(Some(wait)) | End::Spoilt(Some(wait)) = end {
             self.heard_wait(now, fetch.req.front, fetch.req.dest, wait);
@@ -333,7 +333,7 @@
         self.trust(now, &fetch, end.for_trust(), &mut more);
         let terminal = matches!(end, End::Delivered | End::Over | End::Rejected);
         events.push(returned(&fetch, outcome, terminal, latency, load));
-        events.push(Event::Hangup(MessageId(fetch.msg)));
+        events.push(Event::Withdrawn(MessageId(fetch.msg)));
         events.append(&mut more);
         self.settle(now, fetch.msg, Some(end));
     }
--- a/src/core/taking.rs
+++ b/src/core/taking.rs
@@ -141,15 +141,15 @@
         let Some(parked) = self.messages.get_mut(&msg).and_then(|m| m.orders_after_answer.take()) else {
             return;
         };
-        let mut events = vec![Event::Hangup(MessageId(msg))];
+        let mut events = vec![Event::Withdrawn(MessageId(msg))];
         for order in parked {
             if let Order::Fetch(fetch) = order {
-                events.push(returned(&fetch, Outcome::Moot, true, Micros(0), Vec::new()));
+                events.push(returned(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
                 self.trust(now, &fetch, CallEnd::Unsent, &mut events);
             }
         }
         if let Some(fetch) = self.leave_batch(msg) {
-            events.push(returned(&fetch, Outcome::Moot, true, Micros(0), Vec::new()));
+            events.push(returned(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
             self.trust(now, &fetch, CallEnd::Unsent, &mut events);
         }
         events.extend(self.leave_line(msg));
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -147,7 +147,7 @@
         history: keeper,
     };
     let words = Words { classes: classes.clone(), tenants: names.tenants.clone() };
-    let may_tell = settings.limits.notes;
+    let may_tell = settings.limits.gossip;
     let courier = Arc::new(Courier::new(settings, config.seed, clock, journal, options));
     let fail = |e: std::io::Error| format!("starting: {e}");
     if courier.history(|_, _| ()).is_some() {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,8 @@
-//! Decisions of a delivery service for outbound messages to other firms' systems: when and to which endpoint
-//! each message goes, when again, and when it is answered. The crate does no I/O and reads no clock: feed
-//! events, carry out actions.
+//! A delivery service for outbound messages to partners' systems, and its decision engine, [`Sender`].
+//!
+//! The engine decides when and to which endpoint each message is sent, when an attempt is repeated, and when the
+//! client gets its final answer. The engine does no I/O and reads no clock: the caller feeds it events and carries
+//! out the actions that it returns.
 //!
 //! ```
 //! use indigohold::*;
@@ -15,10 +17,10 @@
 //!         effect: Effect::Safe,
 //!         in_order: false,
 //!     }],
-//!     kinds: vec![Kind { routes_apart: false, bundle_max: 1 }],
+//!     kinds: vec![Kind { separate_routes: false, max_batch_size: 1 }],
 //!     tenants: vec![],
 //!     over_share_worth: None,
-//!     fade: Fade::Even,
+//!     worth_decay: WorthDecay::Linear,
 //!     discovery: DiscoveryMode::Push,
 //!     weights: Weights::Off,
 //!     report_left: None,
@@ -36,7 +38,7 @@
 //!     limits: Limits {
 //!         cancel: true,
 //!         probes: true,
-//!         notes: false,
+//!         gossip: false,
 //!         slots: Some(8),
 //!         max_open: Some(100),
 //!         max_attempts: Some(8),
@@ -52,7 +54,7 @@
 //!         destination: DestinationId(7),
 //!         kind: KindId(0),
 //!         zone: ZoneId(0),
-//!         state: Listed::Ready,
+//!         state: ListingState::Ready,
 //!         weight: 1.0,
 //!         rank: 0,
 //!     }]),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -100,7 +100,7 @@
                 };
                 // Danger: one that is dropped without a word leaves its endpoint half open for ever.
                 if let Some(probe) = left {
-                    courier.probed(&probe, Outcome::Moot, Micros(0), Vec::new());
+                    courier.probed(&probe, Outcome::NotSent, Micros(0), Vec::new());
                 }
             }
             Order::Note { to, note } => peers.iter().for_each(|peers| peers.tell(to, note.clone())),
--- a/src/net/platform/probe.rs
+++ b/src/net/platform/probe.rs
@@ -53,14 +53,14 @@
     let until = platform.courier.clock.instant(probe.ordered_at + platform.names.connect);
     // Danger: behind endpoints that hang it may have waited for its whole time, and asks for nobody any more.
     if Instant::now() >= until {
-        return Ended::without_answer(Outcome::Moot, None);
+        return Ended::without_answer(Outcome::NotSent, None);
     }
     let (stream, reused) = match platform.conns.reuse(&probe.backend) {
         Some((stream, _)) => (stream, true),
         None => match platform.door.connect(probe.backend.addr, until) {
             Ok(stream) => (Arc::new(stream), false),
             // Its own want says nothing of the endpoint.
-            Err(e) if errors::is_local(&e) => return Ended::without_answer(Outcome::Moot, None),
+            Err(e) if errors::is_local(&e) => return Ended::without_answer(Outcome::NotSent, None),
             Err(_) => return Ended::without_answer(Outcome::ConnectFailed, None),
         },
     };
@@ -68,16 +68,16 @@
     // The last look before the first byte: the queue and the connection may have taken long, and so may the look itself.
     hear_of(platform, probe.dest);
     if !platform.courier.may_probe(probe) || hear_of(platform, probe.dest) {
-        return Ended::without_answer(Outcome::Moot, Some(stream));
+        return Ended::without_answer(Outcome::NotSent, Some(stream));
     }
     if reused && !conn::quiet(&stream) {
-        return Ended::without_answer(Outcome::Moot, None);
+        return Ended::without_answer(Outcome::NotSent, None);
     }
     let sent = Instant::now();
     let text = format!("GET /health/live HTTP/1.1\r\nHost: {}\r\n\r\n", probe.backend.addr);
     if conn::write_all(&stream, text.as_bytes(), until).is_err() {
         // One that was idle and broke says nothing of its endpoint: it may have been closed for its idleness just now.
-        return Ended::without_answer(if reused { Outcome::Moot } else { Outcome::ConnectFailed }, None);
+        return Ended::without_answer(if reused { Outcome::NotSent } else { Outcome::ConnectFailed }, None);
     }
     platform.conns.written(probe.number(), 0, probe.dest);
     let mut buf = platform.pool.get();
@@ -95,7 +95,7 @@
 fn outcome(head: &AnswerHead) -> Outcome {
     match head.status {
         200 => Outcome::Ok,
-        429 | 503 => Outcome::Full(head.wait),
+        429 | 503 => Outcome::Refused(head.wait),
         _ => Outcome::Error,
     }
 }
--- a/src/policy/dispatch.rs
+++ b/src/policy/dispatch.rs
@@ -102,7 +102,7 @@
             let sparse = demand * MAX_IDLE_TIMEOUT.secs() < max_sparse;
             for id in route.endpoints.iter().skip(skip).chain(route.endpoints.iter().take(skip)) {
                 let permitted =
-                    |e: &&Endpoint| e.listed == Listed::Ready && self.deduplicates_repeat(held, *id, e);
+                    |e: &&Endpoint| e.listed == ListingState::Ready && self.deduplicates_repeat(held, *id, e);
                 let Some(e) = self.endpoints.get(id).filter(permitted) else { continue };
                 let open_bundle = bundles.get(id);
                 if let Some(b) = open_bundle.filter(|b| b.messages < self.bundle_limit(now, *id, e)) {
@@ -168,7 +168,9 @@
     /// its endpoint may start to drain, and its destination may tell the sender to wait or forget an earlier
     /// call.
     pub fn may_begin(&self, now: Micros, message: MessageId, id: EndpointId) -> bool {
-        let Some(e) = self.endpoints.get(&id).filter(|e| e.listed == Listed::Ready) else { return false };
+        let Some(e) = self.endpoints.get(&id).filter(|e| e.listed == ListingState::Ready) else {
+            return false;
+        };
         let in_time = self.messages.get(&message).is_none_or(|held| now < self.latest_send_time(held));
         in_time && self.routes.get(&e.route).is_none_or(|r| r.wait_until <= now)
     }
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -36,7 +36,7 @@
             self.list_request_at = Some(now + spread.scale(uniform(&mut self.rng)));
         }
         if self.list_request_at.take_if(|at| *at <= now).is_some() {
-            actions.push(Action::Follow);
+            actions.push(Action::Subscribe);
         }
     }
 
@@ -60,7 +60,7 @@
     pub(super) fn apply_full_list(&mut self, now: Micros, entries: &[Entry]) {
         let listed: BTreeSet<_> = entries.iter().map(|e| e.endpoint).collect();
         let missing = self.endpoints.iter_mut().filter(|(id, _)| !listed.contains(id));
-        missing.for_each(|(_, e)| e.listed = Listed::Gone);
+        missing.for_each(|(_, e)| e.listed = ListingState::Gone);
         self.apply_list_change(now, entries);
     }
 
@@ -76,7 +76,7 @@
     pub(super) fn apply_entries(&mut self, now: Micros, entries: &[Entry]) {
         for entry in entries {
             let kind = self.settings.kinds.get(usize::from(entry.kind.0));
-            let separate_routes = kind.is_some_and(|k| k.routes_apart);
+            let separate_routes = kind.is_some_and(|k| k.separate_routes);
             let id = (entry.destination, separate_routes.then_some(entry.endpoint));
             let new_route = || Route { last_accepted_at: now, ..Route::default() };
             let route = self.routes.entry(id).or_insert_with(new_route);
--- a/src/policy/final_answers.rs
+++ b/src/policy/final_answers.rs
@@ -13,9 +13,9 @@
     pub(super) fn finish_undelivered(&mut self, now: Micros, id: MessageId, actions: &mut Vec<Action>) {
         let Some(held) = self.messages.get(&id) else { return };
         if held.may_be_declined() {
-            let stay_away = self.time_until_open(now, held.message.destination, Micros(0)).max(SECOND);
-            let max = self.settings.limits.max_retry_after.unwrap_or(stay_away);
-            actions.push(Action::Decline { id, stay_away: stay_away.min(max) });
+            let retry_after = self.time_until_open(now, held.message.destination, Micros(0)).max(SECOND);
+            let max = self.settings.limits.max_retry_after.unwrap_or(retry_after);
+            actions.push(Action::Decline { id, retry_after: retry_after.min(max) });
         } else {
             actions.push(Action::Fail(id));
         }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -80,9 +80,9 @@
         if e.health.is_ejected() && blip {
             self.undo_ejection(now, id);
         } else if e.health.is_ejected() {
-            if self.settings.limits.notes && e.last_note_at + MIN_NOTE_INTERVAL <= now {
+            if self.settings.limits.gossip && e.last_note_at + MIN_NOTE_INTERVAL <= now {
                 e.last_note_at = now;
-                actions.push(Action::Note { to: None, bytes: id.bytes().to_vec() });
+                actions.push(Action::SendGossip { to: None, bytes: id.bytes().to_vec() });
             }
             self.begin_slow_start(now, id);
             self.log_endpoint(now, id, "is back and cold", actions);
@@ -108,7 +108,7 @@
     /// all ejected siblings, and trials are spaced by at least the total slow start rate of these.
     pub(super) fn trial_interval(&mut self, now: Micros, id: EndpointId) -> Micros {
         let jitter = 1.0 + TRIAL_JITTER * (2.0 * uniform(&mut self.rng) - 1.0);
-        let is_ejected = |s: &Endpoint| s.listed == Listed::Ready && s.health.is_ejected();
+        let is_ejected = |s: &Endpoint| s.listed == ListingState::Ready && s.health.is_ejected();
         let ejected = |s: &&EndpointId| self.endpoints.get(s).is_some_and(is_ejected);
         let count = self.siblings(id).iter().filter(ejected).count().max(1) as f64;
         let takes_turns = self.beliefs.as_ref().is_some_and(|b| b.may_try(now, id).is_some());
@@ -202,7 +202,7 @@
         e.last_heard = now;
         // An endpoint that refuses does answer, so it is up. Where others use its limit up, probes may be
         // refused for ever, and the endpoint would never return.
-        let up = matches!(outcome, Outcome::Ok | Outcome::Full(_));
+        let up = matches!(outcome, Outcome::Ok | Outcome::Refused(_));
         match e.health {
             Health::HalfOpen if up => e.health = Health::Ejected { trial_at: now, probed: true },
             Health::HalfOpen => self.eject(now, id, actions),
@@ -220,7 +220,9 @@
         let routes = wanted.iter().flat_map(|d| self.routes_of(*d)).filter(|r| r.wait_until <= now);
         let ids = routes.flat_map(|r| r.endpoints.iter().copied()).filter(|id| self.trial_due(now, *id, now));
         for id in ids.collect::<Vec<_>>() {
-            let Some(e) = self.endpoints.get_mut(&id).filter(|e| e.listed == Listed::Ready) else { continue };
+            let Some(e) = self.endpoints.get_mut(&id).filter(|e| e.listed == ListingState::Ready) else {
+                continue;
+            };
             if matches!(e.health, Health::Ejected { trial_at, probed: false } if trial_at <= now) {
                 (e.health, e.last_trial_at) = (Health::HalfOpen, now);
                 self.routes.entry(e.route).or_default().send_rate.record_call(now, now);
--- a/src/policy/idle_connections.rs
+++ b/src/policy/idle_connections.rs
@@ -40,7 +40,7 @@
             let timeout = self.idle_timeouts.get(&e.kind).copied().unwrap_or(MAX_IDLE_TIMEOUT);
             if demand_rate(&self.destinations, now, e.route.0, DEMAND_WINDOW) * timeout.secs() < 1.0 {
                 e.has_connection = false;
-                actions.push(Action::LetGo(id));
+                actions.push(Action::CloseIdleConnections(id));
             }
         }
     }
--- a/src/policy/outcomes.rs
+++ b/src/policy/outcomes.rs
@@ -32,11 +32,11 @@
         let Event::Returned { id, outcome, terminal, attempt: number, .. } = *event else { return };
         let Some(held) = self.messages.get_mut(&id) else { return };
         let Some(attempt) = held.in_flight.take_if(|a| a.number == number) else { return };
-        if outcome == Outcome::NotBegun {
+        if outcome == Outcome::NotStarted {
             held.attempts = held.attempts.saturating_sub(1);
         }
         let may_still_run = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
-        if may_still_run || matches!(outcome, Outcome::Error | Outcome::Spoilt(_)) {
+        if may_still_run || matches!(outcome, Outcome::Error | Outcome::InvalidAnswer(_)) {
             held.may_have_run.get_or_insert((attempt.sent_at, attempt.endpoint));
         }
         let quiet_time = self.settings.rules.key_quiet.unwrap_or_default();
@@ -47,7 +47,7 @@
         if ended {
             return self.finish(id);
         }
-        self.schedule_retry(now, id, outcome != Outcome::NotBegun, actions);
+        self.schedule_retry(now, id, outcome != Outcome::NotStarted, actions);
     }
 
     /// Records what an outcome says about its endpoint and route. The messages of a bundle share one fate, so
@@ -56,7 +56,7 @@
         let Event::Returned { outcome, latency, ref report, .. } = *event else { return };
         let Some(e) = self.endpoints.get_mut(&attempt.endpoint) else { return };
         let Some(route) = self.routes.get_mut(&e.route) else { return };
-        if let Outcome::Full(Some(wait)) | Outcome::Spoilt(Some(wait)) = outcome {
+        if let Outcome::Refused(Some(wait)) | Outcome::InvalidAnswer(Some(wait)) = outcome {
             route.wait_until = route.wait_until.max(now + wait);
         }
         let calls = &mut self.calls_in_flight;
@@ -73,19 +73,19 @@
         // free would get next to no calls.
         let limit_free = |i: usize| report.get(i).is_none_or(|left| *left >= LIMIT_NOT_REACHED_HEADROOM);
         let table_full = !e.has_connection
-            && outcome == Outcome::Full(None)
+            && outcome == Outcome::Refused(None)
             && self.settings.report_left.is_some_and(limit_free);
         let no_room = table_full || outcome == Outcome::ConnectFailed && e.health == Health::Healthy;
-        let stays_open = matches!(outcome, Outcome::Full(_) | Outcome::Moot | Outcome::NotBegun);
+        let stays_open = matches!(outcome, Outcome::Refused(_) | Outcome::NotSent | Outcome::NotStarted);
         e.has_connection = outcome == Outcome::Ok || e.has_connection && stays_open;
         let timeout = self.idle_timeouts.entry(e.kind).or_insert(MAX_IDLE_TIMEOUT);
         update_idle_timeout(timeout, no_room, attempt.sent_at - e.last_heard, outcome);
         let demand = demand_rate(&self.destinations, now, e.route.0, DEMAND_WINDOW);
         match outcome {
-            Outcome::Moot | Outcome::NotBegun | Outcome::Cancelled if e.health == Health::HalfOpen => {
+            Outcome::NotSent | Outcome::NotStarted | Outcome::Cancelled if e.health == Health::HalfOpen => {
                 e.health = Health::Ejected { trial_at: now, probed: true };
             }
-            Outcome::Moot | Outcome::NotBegun | Outcome::Cancelled => {}
+            Outcome::NotSent | Outcome::NotStarted | Outcome::Cancelled => {}
             Outcome::Ok => {
                 let after_refusal = route.send_rate.consecutive_refusals > 0;
                 let gain = ACCEPTANCE_GAIN * (1.0 - self.acceptance_after_refusal);
@@ -94,7 +94,7 @@
                 route.send_rate.record_accepted(now, last, demand);
                 self.record_success(now, attempt.endpoint, actions);
             }
-            Outcome::Full(_) => {
+            Outcome::Refused(_) => {
                 let rate = &mut route.send_rate;
                 let after_refusal =
                     rate.consecutive_refusals > 0 && attempt.sent_at >= rate.last_cut_at && !table_full;
@@ -114,7 +114,7 @@
             }
             // The call failed: an error, an unreadable answer, no answer in time, no connection, a break.
             _ => {
-                let lost = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Spoilt(_));
+                let lost = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::InvalidAnswer(_));
                 let gain = if lost { LOST_CALL_GAIN } else { FAILURE_GAIN };
                 match outcome {
                     Outcome::Timeout => e.consecutive_timeouts += 1,
--- a/src/policy/round.rs
+++ b/src/policy/round.rs
@@ -41,15 +41,16 @@
             Event::Demand(message) => self.accept_message(now, message, actions),
             // A courier that restarts still has to deliver these messages, and the window of a key goes on
             // from the first attempt that may have run.
-            Event::Resumed { message, tries, risk } => {
+            Event::Resumed { message, attempts, first_uncertain } => {
                 self.accept_message(now, message, actions);
                 let Some(held) = self.messages.get_mut(&message.id) else { return };
-                (held.handed_in_at, held.attempts, held.may_have_run) = (Micros(0), *tries, *risk);
+                (held.handed_in_at, held.attempts, held.may_have_run) =
+                    (Micros(0), *attempts, *first_uncertain);
             }
             Event::Returned { endpoint, outcome, report, .. } => {
                 self.apply_load_report(now, *endpoint, report);
                 self.record_attempt(now, event, actions);
-                if let Outcome::Full(wait) = *outcome {
+                if let Outcome::Refused(wait) = *outcome {
                     let told_wait = wait.unwrap_or_default();
                     self.check_refusal_for_outage(now, *endpoint, told_wait, report, actions);
                 }
@@ -60,19 +61,19 @@
             }
             Event::WholeList(entries) => self.apply_full_list(now, entries),
             Event::ListChange(entries) => self.apply_list_change(now, entries),
-            Event::Relisted(entries) => self.apply_entries(now, entries),
+            Event::LocalListChange(entries) => self.apply_entries(now, entries),
             Event::ListFailed => self.schedule_list_request(now),
-            Event::Hangup(id) => {
+            Event::Withdrawn(id) => {
                 let held = self.messages.get(id).filter(|_| self.settings.limits.cancel);
                 let attempt = held.and_then(|h| h.in_flight.as_ref());
-                actions.extend(attempt.map(|a| Action::CallOff { id: *id, attempt: a.number }));
+                actions.extend(attempt.map(|a| Action::CancelAttempt { id: *id, attempt: a.number }));
                 self.finish(*id);
             }
-            Event::Elapsed(_) => self.timer_at = self.timer_at.filter(|at| *at > now),
-            Event::PeerNote { bytes, .. } => self.receive_note(now, bytes),
-            Event::StillOut { id, endpoint, sent } => self.restore_call(*id, *endpoint, *sent),
+            Event::TimerElapsed(_) => self.timer_at = self.timer_at.filter(|at| *at > now),
+            Event::PeerGossip { bytes, .. } => self.receive_note(now, bytes),
+            Event::CallInFlight { id, endpoint, sent } => self.restore_call(*id, *endpoint, *sent),
             Event::Restarted(id) => self.endpoints.get_mut(id).into_iter().for_each(|e| e.start_cold(now)),
-            Event::UnderWay(_) => {}
+            Event::AnswerStarted(_) => {}
         }
     }
 
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -83,7 +83,8 @@
             Health::SlowStart { since } => (now - since).secs() / self.slow_start_duration().secs().max(1e-6),
             _ => 0.0,
         };
-        let ready = |id: &&EndpointId| self.endpoints.get(id).is_some_and(|e| e.listed == Listed::Ready);
+        let ready =
+            |id: &&EndpointId| self.endpoints.get(id).is_some_and(|e| e.listed == ListingState::Ready);
         let endpoints = route.endpoints.iter().filter(ready).count().max(1) as f64;
         let demand = demand_rate(&self.destinations, now, e.route.0, DEMAND_WINDOW);
         let rate = &route.send_rate;
@@ -94,7 +95,7 @@
 
     /// Most messages that one call to the endpoint may carry.
     pub(super) fn bundle_limit(&self, now: Micros, id: EndpointId, e: &Endpoint) -> u32 {
-        let max = self.settings.kinds.get(usize::from(e.kind.0)).map_or(1, |k| k.bundle_max);
+        let max = self.settings.kinds.get(usize::from(e.kind.0)).map_or(1, |k| k.max_batch_size);
         match e.health {
             Health::Healthy => max,
             Health::SlowStart { .. } => {
--- a/src/policy/tenant_shares.rs
+++ b/src/policy/tenant_shares.rs
@@ -13,7 +13,7 @@
             return;
         }
         let Some(class) = self.settings.classes.get(usize::from(message.class.0)) else {
-            return actions.push(Action::Decline { id: message.id, stay_away: SECOND });
+            return actions.push(Action::Decline { id: message.id, retry_after: SECOND });
         };
         let destination = self.destinations.entry(message.destination).or_default();
         push_recent(&mut destination.recent_demand, now, DEMAND_WINDOW);
--- a/src/sender_handover.rs
+++ b/src/sender_handover.rs
@@ -160,7 +160,7 @@
             destination: DestinationId(3),
             kind: KindId(1),
             zone: ZoneId(0),
-            state: Listed::Ready,
+            state: ListingState::Ready,
             weight: 50.0,
             rank: 0,
         }])
@@ -190,7 +190,7 @@
         old.handle(now - Micros(500_000), &[listed(), Event::Demand(message(1))], &mut actions);
         old.handle(now, &[Event::Demand(message(2))], &mut actions);
         assert_eq!(tries(&actions), 2);
-        let outcome = Outcome::Full(Some(Micros(2_000_000)));
+        let outcome = Outcome::Refused(Some(Micros(2_000_000)));
         let (attempt, latency, report) = (0, Micros(1000), Vec::new());
         old.handle(
             now + Micros(1000),
@@ -212,9 +212,9 @@
         assert_eq!(new.told_wait(DestinationId(3)), now + Micros(2_001_000));
         actions.clear();
         let events = [
-            Event::Resumed { message: message(1), tries: 1, risk: None },
-            Event::Resumed { message: message(2), tries: 1, risk: None },
-            Event::StillOut { id: MessageId(2), endpoint: AT, sent: now },
+            Event::Resumed { message: message(1), attempts: 1, first_uncertain: None },
+            Event::Resumed { message: message(2), attempts: 1, first_uncertain: None },
+            Event::CallInFlight { id: MessageId(2), endpoint: AT, sent: now },
             listed(),
         ];
         new.handle(now + Micros(2000), &events, &mut actions);
@@ -237,7 +237,7 @@
         assert!(!new.messages.contains_key(&MessageId(2)));
         assert_eq!(new.free_slots(), old.free_slots() + 1);
         for ms in 2..40 {
-            new.handle(now + Micros(ms * 100_000), &[Event::Elapsed(TimerToken(0))], &mut actions);
+            new.handle(now + Micros(ms * 100_000), &[Event::TimerElapsed(TimerToken(0))], &mut actions);
             if ms < 20 {
                 assert_eq!(tries(&actions), 0, "the wait is on at {ms}");
             }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -2,7 +2,8 @@
 //! settings. Unknown keys are passed over, absent ones stay absent.
 
 use crate::api::{
-    Class, DiscoveryMode, Effect, Fade, Group, Kind, Limits, Micros, Rules, Settings, Tenant, Weights,
+    Class, DedupGroup, DiscoveryMode, Effect, Kind, Limits, Micros, Rules, Settings, Tenant, Weights,
+    WorthDecay,
 };
 use crate::register::list::KindAndZoneNames;
 use serde::Deserialize;
@@ -204,8 +205,8 @@
         let count =
             conf.kinds.len().max(conf.family_info.bundle_max.len()).max(conf.family_info.kind_apart.len());
         let kind = |i| Kind {
-            routes_apart: conf.family_info.kind_apart.get(i).copied().unwrap_or(false),
-            bundle_max: conf.family_info.bundle_max.get(i).copied().unwrap_or(1),
+            separate_routes: conf.family_info.kind_apart.get(i).copied().unwrap_or(false),
+            max_batch_size: conf.family_info.bundle_max.get(i).copied().unwrap_or(1),
         };
         let place = |name: &str| conf.load_report.names.iter().position(|n| n == name);
         Ok(Settings {
@@ -216,9 +217,9 @@
             classes: conf.profiles.into_iter().map(class).collect::<Result<_, _>>()?,
             tenants: conf.tenants.into_iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
             over_share_worth: conf.over_share_worth,
-            fade: match conf.family_info.fades {
-                Some(Fades::ByHalf) => Fade::ByHalf,
-                Some(Fades::Even) | None => Fade::Even,
+            worth_decay: match conf.family_info.fades {
+                Some(Fades::ByHalf) => WorthDecay::Halving,
+                Some(Fades::Even) | None => WorthDecay::Linear,
             },
             discovery: match conf.discovery {
                 Discovery::Automatic => DiscoveryMode::Push,
@@ -242,7 +243,7 @@
             limits: Limits {
                 cancel: conf.limits.cancel,
                 probes: conf.limits.probing,
-                notes: conf.limits.peers,
+                gossip: conf.limits.peers,
                 slots: conf.family_info.slots,
                 max_open: conf.limits.max_open,
                 max_attempts: conf.limits.try_limit,
@@ -258,9 +259,9 @@
         Idempotency::SideEffect => Effect::Unsafe,
         Idempotency::Token => Effect::Keyed {
             group: match profile.group {
-                Some(GroupConf::All) => Group::All,
-                Some(GroupConf::Zone) => Group::Zone,
-                Some(GroupConf::Cell) => Group::Endpoint,
+                Some(GroupConf::All) => DedupGroup::All,
+                Some(GroupConf::Zone) => DedupGroup::Zone,
+                Some(GroupConf::Cell) => DedupGroup::Endpoint,
                 None => return Err("settings: a profile with a token needs a group".into()),
             },
             window: match profile.repeat_window {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -124,7 +124,7 @@
     pub(crate) fn drop_gone_endpoints(&mut self, now: Micros) {
         let routes = &mut self.routes;
         self.endpoints.retain(|id, e| {
-            let stays = e.listed != Listed::Gone || !e.calls.is_empty();
+            let stays = e.listed != ListingState::Gone || !e.calls.is_empty();
             if let (false, Some(route)) = (stays, routes.get_mut(&e.route)) {
                 route.endpoints.remove(id);
             }
@@ -150,8 +150,8 @@
     pub(crate) fn deduplicates_repeat(&self, held: &HeldMessage, id: EndpointId, e: &Endpoint) -> bool {
         let same_zone = |at| self.endpoints.get(&at).is_some_and(|a| a.zone == e.zone);
         match (held.may_have_run, held.effect) {
-            (Some((_, at)), Effect::Keyed { group: Group::Endpoint, .. }) => at == id,
-            (Some((_, at)), Effect::Keyed { group: Group::Zone, .. }) => same_zone(at),
+            (Some((_, at)), Effect::Keyed { group: DedupGroup::Endpoint, .. }) => at == id,
+            (Some((_, at)), Effect::Keyed { group: DedupGroup::Zone, .. }) => same_zone(at),
             _ => true,
         }
     }
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -49,7 +49,7 @@
     /// Endpoints of a higher rank are used only while none of a lower rank can be.
     pub(crate) rank: u16,
     #[serde(skip)]
-    pub(crate) listed: Listed,
+    pub(crate) listed: ListingState,
     pub(crate) health: Health,
     /// The last failure was a lost call (time-out, broken or failed connection, unreadable answer), not an
     /// error answer.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -22,7 +22,7 @@
 }
 
 pub fn keyed() -> Effect {
-    Effect::Keyed { group: Group::All, window: Micros(12 * S) }
+    Effect::Keyed { group: DedupGroup::All, window: Micros(12 * S) }
 }
 
 /// Class 0 is safe to repeat, class 1 has keys, and class 2 must not be repeated.
@@ -30,10 +30,10 @@
     Settings {
         senders: 1,
         classes: vec![class(Effect::Safe), class(keyed()), class(Effect::Unsafe)],
-        kinds: vec![Kind { routes_apart: false, bundle_max: 1 }],
+        kinds: vec![Kind { separate_routes: false, max_batch_size: 1 }],
         tenants: vec![],
         over_share_worth: None,
-        fade: Fade::Even,
+        worth_decay: WorthDecay::Linear,
         discovery: DiscoveryMode::Push,
         weights: Weights::Off,
         report_left: None,
@@ -51,7 +51,7 @@
         limits: Limits {
             cancel: true,
             probes: false,
-            notes: false,
+            gossip: false,
             slots: Some(16),
             max_open: Some(200),
             max_attempts: Some(8),
@@ -66,7 +66,7 @@
         destination: DestinationId(destination),
         kind: KindId(0),
         zone: ZoneId(0),
-        state: Listed::Ready,
+        state: ListingState::Ready,
         weight: 1.0,
         rank: 0,
     }
@@ -141,7 +141,7 @@
         while let Some(at) = self.timers.iter().copied().filter(|at| *at <= end).min() {
             self.timers.retain(|t| *t != at);
             self.now = self.now.max(at);
-            all.extend(self.feed(vec![Event::Elapsed(TimerToken(0))]));
+            all.extend(self.feed(vec![Event::TimerElapsed(TimerToken(0))]));
         }
         self.now = end;
         all
--- a/tests/drain_model.rs
+++ b/tests/drain_model.rs
@@ -3,13 +3,14 @@
 //! stand-in for the core that follows the same order of writes: what is decided is written down before it holds.
 
 use indigohold::drain::{self, Answer, Drains, History, Marks, Refusal, Scope, Stage, Wish};
-use indigohold::{Effect, Group, Micros};
+use indigohold::{DedupGroup, Effect, Micros};
 use stateright::{Checker, Model, Property};
 
 const S: u64 = 1_000_000;
 
 /// Two messages: a keyed one, and a safe one of another destination that a partial drain leaves alone.
-const EFFECTS: [Effect; MSGS] = [Effect::Keyed { group: Group::All, window: Micros(8 * S) }, Effect::Safe];
+const EFFECTS: [Effect; MSGS] =
+    [Effect::Keyed { group: DedupGroup::All, window: Micros(8 * S) }, Effect::Safe];
 const DESTS: [u16; MSGS] = [7, 8];
 const MSGS: usize = 2;
 /// Time runs to here.
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -18,14 +18,14 @@
     for seed in 0..instances {
         let mut b = SenderHarness::seeded(set_of(senders), vec![entry(1, 7)], seed);
         let start = b.now;
-        let mut open = b.last_actions.contains(&Action::Follow).then_some(start);
+        let mut open = b.last_actions.contains(&Action::Subscribe).then_some(start);
         while b.now < start + span {
             if let Some(at) = open.take() {
                 asks.push(at - start);
                 b.wait(2 * S);
                 b.feed(vec![Event::ListFailed]);
             }
-            open = b.wait(10_000).contains(&Action::Follow).then_some(b.now);
+            open = b.wait(10_000).contains(&Action::Subscribe).then_some(b.now);
         }
     }
     asks
@@ -56,7 +56,7 @@
             for _ in 0..12 {
                 b.feed(vec![Event::ListFailed]);
                 let failed = b.now;
-                while !b.wait(10_000).contains(&Action::Follow) {
+                while !b.wait(10_000).contains(&Action::Subscribe) {
                     assert!(b.now < failed + 5 * S, "{senders} couriers, seed {seed}");
                 }
             }
@@ -92,7 +92,7 @@
         }
         let failed = b.now;
         b.feed(vec![Event::ListFailed]);
-        while !b.last_actions.contains(&Action::Follow) {
+        while !b.last_actions.contains(&Action::Subscribe) {
             assert!(b.now < failed + 10 * S);
             b.now += 10_000;
             b.feed(vec![]);
@@ -100,7 +100,7 @@
         b.now - failed
     };
     assert!(next_ask(Event::ListChange) <= S / 2 + 10_000, "discovery has spoken");
-    assert!(next_ask(Event::Relisted) >= 5 * S / 4, "it has not");
+    assert!(next_ask(Event::LocalListChange) >= 5 * S / 4, "it has not");
 }
 
 // ---- A limit that all senders share ----
@@ -190,7 +190,7 @@
         }
         while out.first().is_some_and(|o| o.0 <= now) {
             let (_, n, id, taken, told) = out.remove(0);
-            let outcome = if taken { Outcome::Ok } else { Outcome::Full(None) };
+            let outcome = if taken { Outcome::Ok } else { Outcome::Refused(None) };
             let all = fleet[n].returns_with_report(id, outcome, told.to_vec());
             sent.extend(attempted_ids(&all).into_iter().map(|id| (n, id)));
         }
@@ -229,7 +229,7 @@
             let mut b = SenderHarness::new(set, vec![Entry { weight: f64::from(weight), ..entry(1, 7) }]);
             for (n, (left, limit)) in odd.iter().flat_map(|l| odd.iter().map(move |r| (*l, *r))).enumerate() {
                 b.demand(n as u64, 7, 0);
-                let outcome = if n % 3 == 0 { Outcome::Full(None) } else { Outcome::Ok };
+                let outcome = if n % 3 == 0 { Outcome::Refused(None) } else { Outcome::Ok };
                 let out: Vec<u64> = b.in_flight.iter().map(|a| a.id).collect();
                 out.into_iter().for_each(|id| drop(b.returns_with_report(id, outcome, vec![left, limit])));
                 b.feed(vec![Event::ListChange(vec![Entry { weight: f64::from(weight), ..entry(1, 7) }])]);
@@ -256,7 +256,7 @@
         went.push(b.in_flight[0].endpoint);
         b.now += 50_000;
         let done = b.returns(id, Outcome::Ok);
-        let_go += usize::from(id > 10 && done.iter().any(|a| matches!(a, Action::LetGo(_))));
+        let_go += usize::from(id > 10 && done.iter().any(|a| matches!(a, Action::CloseIdleConnections(_))));
         b.wait(1_500_000);
     }
     let moves = went.windows(2).filter(|w| w[0] != w[1]).count();
--- a/tests/full_tables.rs
+++ b/tests/full_tables.rs
@@ -43,7 +43,7 @@
 
 fn let_go(actions: &[Action]) -> Vec<EndpointId> {
     let of = |a: &Action| match a {
-        Action::LetGo(endpoint) => Some(*endpoint),
+        Action::CloseIdleConnections(endpoint) => Some(*endpoint),
         _ => None,
     };
     actions.iter().filter_map(of).collect()
@@ -82,7 +82,7 @@
         for (_, n, id, taken) in over {
             let (outcome, report) = match taken {
                 true => (Outcome::Ok, vec![0.9, 70.0]),
-                false => (Outcome::Full(None), vec![]),
+                false => (Outcome::Refused(None), vec![]),
             };
             if taken {
                 let to = id as usize % DESTINATIONS;
@@ -116,7 +116,7 @@
         let mut b = SenderHarness::new(set, vec![entry(1, 7)]);
         for id in 0..3 {
             b.demand(id, 7, 0);
-            b.returns_with_report(id, Outcome::Full(None), report.clone());
+            b.returns_with_report(id, Outcome::Refused(None), report.clone());
             b.wait(20 * S);
             b.returns_with_report(id, Outcome::Ok, vec![0.9, 70.0]);
             b.wait(20 * S);
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -51,7 +51,7 @@
 fn an_unsafe_message_proven_unrun_goes_again() {
     let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 7)]);
     b.demand(1, 7, 2);
-    assert!(answered_ids(&b.returns(1, Outcome::Full(None))).is_empty());
+    assert!(answered_ids(&b.returns(1, Outcome::Refused(None))).is_empty());
     assert_eq!(attempted_ids(&b.wait(20 * S)), [1]);
 }
 
@@ -70,7 +70,7 @@
 #[test]
 fn repeats_of_a_zone_keyed_message_stay_in_the_zone() {
     let mut set = settings();
-    set.classes[1].effect = Effect::Keyed { group: Group::Zone, window: Micros(12 * S) };
+    set.classes[1].effect = Effect::Keyed { group: DedupGroup::Zone, window: Micros(12 * S) };
     let far = |n| Entry { zone: ZoneId(1), ..entry(n, 7) };
     let mut b = SenderHarness::new(set, vec![entry(1, 7), far(2), far(3)]);
     b.demand(1, 7, 1);
@@ -83,7 +83,7 @@
 
 #[test]
 fn drained_and_gone_endpoints_get_nothing_new() {
-    for state in [Listed::Draining, Listed::Gone] {
+    for state in [ListingState::Draining, ListingState::Gone] {
         let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
         b.feed(vec![Event::ListChange(vec![Entry { state, ..entry(1, 7) }])]);
         b.demand(1, 7, 0);
@@ -98,7 +98,7 @@
 fn a_told_wait_binds_the_whole_destination_and_only_it() {
     let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 7), entry(3, 8)]);
     b.demand(1, 7, 0);
-    b.returns(1, Outcome::Full(Some(Micros(S))));
+    b.returns(1, Outcome::Refused(Some(Micros(S))));
     assert!(attempted_ids(&b.demand(2, 7, 0)).is_empty());
     assert_eq!(attempted_ids(&b.demand(3, 8, 0)), [3]);
     assert!(attempted_ids(&b.wait(S - 1)).is_empty());
@@ -108,11 +108,11 @@
 #[test]
 fn a_told_wait_binds_one_endpoint_where_routes_are_apart() {
     let mut set = settings();
-    set.kinds[0].routes_apart = true;
+    set.kinds[0].separate_routes = true;
     let mut b = SenderHarness::new(set, vec![entry(1, 7), entry(2, 7)]);
     b.demand(1, 7, 0);
     let first = b.in_flight[0].endpoint;
-    b.returns(1, Outcome::Full(Some(Micros(20 * S))));
+    b.returns(1, Outcome::Refused(Some(Micros(20 * S))));
     assert_eq!(attempted_ids(&b.demand(2, 7, 0)), [2]);
     assert_ne!(b.in_flight[0].endpoint, first);
 }
@@ -150,8 +150,8 @@
     let mut b = SenderHarness::new(set, vec![entry(1, 7)]);
     b.demand_with_key(1, 7, 0, Some(5));
     b.demand_with_key(2, 7, 0, Some(5));
-    let done = b.feed(vec![Event::Hangup(MessageId(1))]);
-    assert!(done.contains(&Action::CallOff { id: MessageId(1), attempt: 0 }));
+    let done = b.feed(vec![Event::Withdrawn(MessageId(1))]);
+    assert!(done.contains(&Action::CancelAttempt { id: MessageId(1), attempt: 0 }));
     assert!(attempted_ids(&b.wait(3 * S)).is_empty());
     b.returns(1, Outcome::Cancelled);
     assert_eq!(attempted_ids(&b.wait(S)), [2]);
@@ -205,9 +205,9 @@
         assert_eq!(attempted_ids(&b.demand(id, 7, 0)), [id], "unbounded until refused");
     }
     b.now += 500_000;
-    b.returns(0, Outcome::Full(None));
+    b.returns(0, Outcome::Refused(None));
     // Half of the ten calls of the last second: one call in 0.2 s; refusals of calls sent before cut no more.
-    b.returns(1, Outcome::Full(None));
+    b.returns(1, Outcome::Refused(None));
     (2..10).for_each(|id| drop(b.returns(id, Outcome::Ok)));
     for id in 20..60 {
         b.demand(id, 7, 0);
@@ -303,7 +303,7 @@
 fn bundles_share_a_call_a_slot_and_the_pace() {
     let mut set = settings();
     set.weights = Weights::Nominal;
-    set.kinds[0].bundle_max = 5;
+    set.kinds[0].max_batch_size = 5;
     let mut b = SenderHarness::new(set, vec![Entry { weight: 2.0, ..entry(1, 7) }]);
     b.demand(0, 7, 0);
     (1..9).for_each(|id| drop(b.demand(id, 7, 0)));
@@ -316,9 +316,9 @@
     let mut set = settings();
     set.discovery = DiscoveryMode::Subscribe;
     let mut b = SenderHarness::new(set, vec![]);
-    assert!(b.last_actions.contains(&Action::Follow));
-    assert!(!b.feed(vec![Event::ListFailed]).contains(&Action::Follow));
-    assert!(b.wait(S).contains(&Action::Follow));
+    assert!(b.last_actions.contains(&Action::Subscribe));
+    assert!(!b.feed(vec![Event::ListFailed]).contains(&Action::Subscribe));
+    assert!(b.wait(S).contains(&Action::Subscribe));
 }
 
 #[test]
@@ -332,7 +332,7 @@
         key: None,
         due: Micros(0),
     });
-    let done = b.feed(vec![Event::Hangup(MessageId(77)), Event::UnderWay(MessageId(4)), past]);
+    let done = b.feed(vec![Event::Withdrawn(MessageId(77)), Event::AnswerStarted(MessageId(4)), past]);
     assert_eq!(answered_ids(&done), [9]);
     assert!(attempted_ids(&done).is_empty());
 }
--- a/tests/held_up.rs
+++ b/tests/held_up.rs
@@ -13,7 +13,7 @@
     for window_ms in [400, 1_000, 2_000, 3_000, 5_000, 8_000, 15_000] {
         let window = Micros(window_ms * 1_000);
         let mut set = settings();
-        set.classes = vec![class(Effect::Keyed { group: Group::All, window })];
+        set.classes = vec![class(Effect::Keyed { group: DedupGroup::All, window })];
         let mut bench = SenderHarness::new(set, vec![entry(1, 7)]);
         let sent = bench.now;
         let message = Message {
@@ -26,8 +26,8 @@
         };
         bench.feed(vec![Event::Resumed {
             message,
-            tries: 1,
-            risk: Some((Micros(sent), common::endpoint(1))),
+            attempts: 1,
+            first_uncertain: Some((Micros(sent), common::endpoint(1))),
         }]);
         let may_begin = |at: u64| bench.sender.may_begin(Micros(at), MessageId(9), common::endpoint(1));
         let last = (0..window_ms).rev().find(|ms| may_begin(sent + ms * 1_000));
--- a/tests/lost_calls.rs
+++ b/tests/lost_calls.rs
@@ -81,7 +81,7 @@
         b.now += 25_000;
         let lost = id == 100;
         let actions = b.returns(id, if lost { Outcome::Reset } else { Outcome::Ok });
-        let_go += u32::from(id > 100 && actions.iter().any(|a| matches!(a, Action::LetGo(_))));
+        let_go += u32::from(id > 100 && actions.iter().any(|a| matches!(a, Action::CloseIdleConnections(_))));
     }
     assert_eq!(let_go, 0);
 }
--- a/tests/measure_held.rs
+++ b/tests/measure_held.rs
@@ -38,7 +38,7 @@
         // Every call out comes back refused with a wait.
         for action in std::mem::take(&mut actions) {
             if let Action::Try { id, endpoint: to, .. } = action {
-                let outcome = Outcome::Full(Some(Micros(20 * S)));
+                let outcome = Outcome::Refused(Some(Micros(20 * S)));
                 let (latency, report) = (Micros(1000), Vec::new());
                 let event = Event::Returned {
                     id,
@@ -55,7 +55,7 @@
         let rounds = 2_000u64;
         let begun = Instant::now();
         for n in 0..rounds {
-            sender.handle(Micros(now + n), &[Event::Elapsed(TimerToken(0))], &mut actions);
+            sender.handle(Micros(now + n), &[Event::TimerElapsed(TimerToken(0))], &mut actions);
         }
         let round = begun.elapsed().as_secs_f64() * 1e6 / rounds as f64;
         now += rounds;
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -82,7 +82,7 @@
 fn world(probes: bool, notes: bool, names: &[(&str, u16)]) -> World {
     let (folder, now) = (Folder::new(), Micros(1_000 * common::S));
     let mut settings = common::settings();
-    (settings.limits.probes, settings.limits.notes) = (probes, notes);
+    (settings.limits.probes, settings.limits.gossip) = (probes, notes);
     settings.rules.overload_factor = None;
     let journal = Journal::open(&folder.0.join("state"), 3_000_000, now).unwrap();
     let (core, orders) = Core::new(settings, 1, now, journal, Options::default());
@@ -200,14 +200,14 @@
     assert!(!world.core.may_probe(world.now, &first), "told to wait");
     world.now = world.now + Micros(common::S);
     assert!(world.core.may_probe(world.now, &first));
-    world.core.probed(world.now, &first, Outcome::Moot, Micros(0), Vec::new());
+    world.core.probed(world.now, &first, Outcome::NotSent, Micros(0), Vec::new());
     assert!(!world.core.may_probe(world.now, &first), "it is over");
     let second = world.probe();
     world.list(&[("s-1", 7)], EndpointState::Draining);
     assert!(!world.core.may_probe(world.now, &second), "it drains");
     world.list(&[("s-1", 7)], EndpointState::Up);
     let wait = Some(Micros(2 * common::S));
-    world.core.probed(world.now, &second, Outcome::Full(wait), Micros(0), Vec::new());
+    world.core.probed(world.now, &second, Outcome::Refused(wait), Micros(0), Vec::new());
     assert!(world.next(1_900).is_none(), "a wait told to a probe binds what is ordered");
     // Who answers, if only that it is full, is up: a message tries.
     world.fetched(1_000, End::Delivered);
--- a/tests/probes.rs
+++ b/tests/probes.rs
@@ -32,7 +32,7 @@
     let mut b = SenderHarness::new(probing(), (1..=ENDPOINTS).map(|n| entry(n, 7)).collect());
     b.demand(1, 7, 0);
     b.now += 10_000;
-    b.returns(1, Outcome::Full(None));
+    b.returns(1, Outcome::Refused(None));
     for id in 10..200 {
         b.demand(id, 7, 0);
         let mut done = b.last_actions.clone();
@@ -82,7 +82,7 @@
 fn a_probe_that_is_told_full_lets_a_message_try() {
     let mut b = out_at_a_low_pace();
     b.demand(900, 7, 0);
-    b.probed(endpoint(1), Outcome::Full(None));
+    b.probed(endpoint(1), Outcome::Refused(None));
     let done = b.wait(10 * S);
     assert!(!attempted_ids(&done).is_empty(), "a message tries, and not only the next probe");
 }
@@ -104,7 +104,7 @@
             b.wait(S / 2);
             let out: Vec<u64> = b.in_flight.iter().map(|a| a.id).collect();
             refused += out.len();
-            out.iter().for_each(|id| drop(b.returns(*id, Outcome::Full(None))));
+            out.iter().for_each(|id| drop(b.returns(*id, Outcome::Refused(None))));
         }
         assert!(b.now < listed + 5 * S);
         soon += usize::from(refused >= 2);
@@ -128,7 +128,7 @@
         due,
     };
     let sent = Micros(b.now);
-    b.feed(vec![Event::Resumed { message, tries: 1, risk: Some((sent, endpoint(1))) }]);
+    b.feed(vec![Event::Resumed { message, attempts: 1, first_uncertain: Some((sent, endpoint(1))) }]);
     let window = 12 * S;
     let may = |at: u64| b.sender.may_begin(Micros(at), MessageId(1), endpoint(1));
     assert!(may(sent.0 + window - 300_000), "a fiftieth of twelve seconds is 240 ms");
@@ -140,7 +140,7 @@
 #[test]
 fn bundles_go_to_a_returned_endpoint_where_no_coldness_is_told() {
     let mut settings = settings();
-    settings.kinds[0].bundle_max = 20;
+    settings.kinds[0].max_batch_size = 20;
     (settings.rules.cold_share, settings.rules.overload_factor) = (None, None);
     let mut b = SenderHarness::new(settings, vec![entry(1, 7)]);
     b.demand(1, 7, 0);
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -7,7 +7,11 @@
 fn resumed(b: &SenderHarness, id: u64, class: u16, tries: u32, risk: Option<(u64, u8)>, due: u64) -> Event {
     let Event::Demand(message) = b.message(id, 7, class, None) else { unreachable!() };
     let risk = risk.map(|(at, n)| (Micros(at), endpoint(n)));
-    Event::Resumed { message: Message { due: Micros(due), ..message }, tries, risk }
+    Event::Resumed {
+        message: Message { due: Micros(due), ..message },
+        attempts: tries,
+        first_uncertain: risk,
+    }
 }
 
 /// Guards against a repeat outside of the key's window because the window began anew with the process.
@@ -29,7 +33,7 @@
     let last = resumed(&b, 1, 0, 7, None, b.now + 20 * S);
     assert_eq!(attempted_ids(&b.feed(vec![last])), [1]);
     b.in_flight[0].number = 7;
-    assert_eq!(answered_ids(&b.returns(1, Outcome::Full(None))), [1], "that was the eighth");
+    assert_eq!(answered_ids(&b.returns(1, Outcome::Refused(None))), [1], "that was the eighth");
 }
 
 #[test]
@@ -50,10 +54,10 @@
     let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 8)]);
     let ask = |b: &SenderHarness, n| b.sender.may_begin(Micros(b.now), MessageId(99), endpoint(n));
     assert!(ask(&b, 1) && ask(&b, 2) && !ask(&b, 3));
-    b.feed(vec![Event::ListChange(vec![Entry { state: Listed::Draining, ..entry(1, 7) }])]);
+    b.feed(vec![Event::ListChange(vec![Entry { state: ListingState::Draining, ..entry(1, 7) }])]);
     assert!(!ask(&b, 1) && ask(&b, 2));
     b.demand(1, 8, 0);
-    b.returns(1, Outcome::Full(Some(Micros(S))));
+    b.returns(1, Outcome::Refused(Some(Micros(S))));
     assert!(!ask(&b, 2));
     b.now += S;
     assert!(ask(&b, 2));
--- a/tests/room.rs
+++ b/tests/room.rs
@@ -13,7 +13,7 @@
     (0..30).for_each(|id| shed.extend(b.demand(id, 7, 0)));
     assert_eq!(answered_ids(&shed).len(), 11);
     for action in &shed {
-        assert!(!matches!(action, Action::Decline { stay_away: Micros(0), .. }));
+        assert!(!matches!(action, Action::Decline { retry_after: Micros(0), .. }));
     }
 }
 
@@ -72,7 +72,7 @@
         let Event::Demand(message) = b.message(id, 7, 0, None) else { unreachable!() };
         // With more time left than who comes: that alone would make them the first to go.
         let message = Message { due: message.due + Micros(S), ..message };
-        Event::Resumed { message, tries: 0, risk: None }
+        Event::Resumed { message, attempts: 0, first_uncertain: None }
     };
     let old: Vec<Event> = (0..19).map(|id| resumed(&b, id)).collect();
     let new = b.message(50, 7, 0, None);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -57,7 +57,8 @@
     let mut sender = Sender::new(set.clone(), 11);
     let mut now = 3 * S;
     let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
-    let mut states: BTreeMap<EndpointId, Listed> = (1..41).map(|n| (endpoint(n), Listed::Ready)).collect();
+    let mut states: BTreeMap<EndpointId, ListingState> =
+        (1..41).map(|n| (endpoint(n), ListingState::Ready)).collect();
     let mut waits: BTreeMap<(u16, Option<EndpointId>), u64> = BTreeMap::new();
     let mut rests: BTreeMap<u64, u64> = BTreeMap::new();
     let mut probes: Vec<EndpointId> = vec![];
@@ -98,19 +99,20 @@
                         Outcome::Ok,
                         Outcome::Ok,
                         Outcome::Error,
-                        Outcome::Full(None),
-                        Outcome::Full(Some(Micros(700_000))),
+                        Outcome::Refused(None),
+                        Outcome::Refused(Some(Micros(700_000))),
                         Outcome::Timeout,
                         Outcome::ConnectFailed,
                         Outcome::Reset,
-                        Outcome::Moot,
+                        Outcome::NotSent,
                     ][usize::from(*outcome)];
                     queue.push(vec![returned(&mut seen, &mut waits, &mut rests, set, now, *id, outcome)]);
                 }
             }
             Step::List { n, state } => {
                 let state =
-                    [Listed::Ready, Listed::Ready, Listed::Draining, Listed::Gone][usize::from(*state)];
+                    [ListingState::Ready, ListingState::Ready, ListingState::Draining, ListingState::Gone]
+                        [usize::from(*state)];
                 states.insert(endpoint(*n), state);
                 queue.push(vec![Event::ListChange(vec![Entry { state, ..line(*n) }])]);
             }
@@ -118,7 +120,7 @@
                 let held: Vec<u64> = seen.iter().filter(|(_, s)| !s.over).map(|(id, _)| *id).collect();
                 if let Some(id) = held.get(pick % held.len().max(1)) {
                     seen.get_mut(id).expect("held").over = true;
-                    queue.push(vec![Event::Hangup(MessageId(*id))]);
+                    queue.push(vec![Event::Withdrawn(MessageId(*id))]);
                 }
             }
             Step::ListFailed => queue.push(vec![Event::ListFailed]),
@@ -129,7 +131,7 @@
                 }
             }
             Step::Note { bytes } => {
-                queue.push(vec![Event::PeerNote { from: PeerId(2), bytes: bytes.clone() }])
+                queue.push(vec![Event::PeerGossip { from: PeerId(2), bytes: bytes.clone() }])
             }
             Step::Pass { millis } => until = now + millis * 1000,
         }
@@ -145,7 +147,7 @@
                 now = now.max(at);
                 if alarm == Some(at) {
                     alarms.remove(&at);
-                    vec![Event::Elapsed(TimerToken(0))]
+                    vec![Event::TimerElapsed(TimerToken(0))]
                 } else {
                     let id = expiring.expect("the earlier one").1;
                     vec![returned(&mut seen, &mut waits, &mut rests, set, now, id, Outcome::Timeout)]
@@ -172,20 +174,22 @@
                         assert!(!me.over, "nothing after the final answer");
                         assert!(me.out.is_none(), "no second attempt out");
                         assert!(u32::from(me.attempts) < set.limits.max_attempts.unwrap_or(99), "attempts");
-                        assert_eq!(states[endpoint], Listed::Ready, "drains");
+                        assert_eq!(states[endpoint], ListingState::Ready, "drains");
                         assert_eq!(u16::from(endpoint.addr[3].div_ceil(2)), me.destination);
-                        let route = (me.destination, set.kinds[0].routes_apart.then_some(*endpoint));
+                        let route = (me.destination, set.kinds[0].separate_routes.then_some(*endpoint));
                         assert!(waits.get(&route).is_none_or(|w| *w <= now), "told waits");
                         match (set.classes[usize::from(me.class)].effect, me.risk) {
                             (Effect::Unsafe, risk) => assert!(risk.is_none(), "unsafe repeat"),
                             (Effect::Keyed { group, .. }, Some((sent, first))) => {
                                 assert!(now < sent + keyed_window, "window");
-                                assert!(group == Group::All || zone(first) == zone(*endpoint), "group");
+                                assert!(group == DedupGroup::All || zone(first) == zone(*endpoint), "group");
                             }
                             _ => {}
                         }
                         let out = seen.values().filter(|s| s.out.is_some()).count();
-                        assert!(set.kinds[0].bundle_max > 1 || out < set.limits.slots.unwrap_or(99) as usize);
+                        assert!(
+                            set.kinds[0].max_batch_size > 1 || out < set.limits.slots.unwrap_or(99) as usize
+                        );
                         let me = seen.get_mut(&id.0).expect("known");
                         me.out = Some((*endpoint, me.attempts, now));
                         me.attempts += 1;
@@ -198,7 +202,7 @@
                             Effect::Safe => {}
                             Effect::Unsafe => assert!(me.risk.is_none(), "declined though it may have run"),
                             Effect::Keyed { group, .. } => {
-                                assert!(me.risk.is_none() || group == Group::All)
+                                assert!(me.risk.is_none() || group == DedupGroup::All)
                             }
                         }
                         me.over = true;
@@ -210,7 +214,7 @@
                     }
                     Action::SetTimer { after, .. } => drop(alarms.insert(now + after.0)),
                     Action::Probe(endpoint) => {
-                        assert!(set.limits.probes && states[endpoint] == Listed::Ready);
+                        assert!(set.limits.probes && states[endpoint] == ListingState::Ready);
                         probes.push(*endpoint);
                     }
                     _ => {}
@@ -236,8 +240,8 @@
     if matches!(outcome, Outcome::Timeout | Outcome::Reset) && set.classes[usize::from(s.class)].in_order {
         rests.insert(s.key, now + set.rules.key_quiet.map_or(0, |q| q.0));
     }
-    if let Outcome::Full(Some(wait)) = outcome {
-        let route = (s.destination, set.kinds[0].routes_apart.then_some(endpoint));
+    if let Outcome::Refused(Some(wait)) = outcome {
+        let route = (s.destination, set.kinds[0].separate_routes.then_some(endpoint));
         let until = waits.entry(route).or_default();
         *until = (*until).max(now + wait.0);
     }
@@ -249,7 +253,7 @@
 
 fn variants() -> Vec<Settings> {
     let mut plain = settings();
-    plain.classes.push(class(Effect::Keyed { group: Group::Zone, window: Micros(12 * S) }));
+    plain.classes.push(class(Effect::Keyed { group: DedupGroup::Zone, window: Micros(12 * S) }));
     plain.limits.slots = Some(5);
     let mut ordered = plain.clone();
     ordered.classes[0].in_order = true;
@@ -257,18 +261,18 @@
     ordered.limits.probes = true;
     ordered.limits.max_open = Some(12);
     let mut apart = plain.clone();
-    apart.kinds[0].routes_apart = true;
+    apart.kinds[0].separate_routes = true;
     apart.discovery = DiscoveryMode::Subscribe;
     apart.weights = Weights::Rough;
     let mut bundles = plain.clone();
-    bundles.kinds[0].bundle_max = 4;
+    bundles.kinds[0].max_batch_size = 4;
     bundles.limits.max_attempts = Some(3);
     bundles.classes[1].in_order = true;
     // One of hundreds of senders: no reports, no probes, notes of any bytes.
     let mut many = plain.clone();
     many.senders = 300;
     many.weights = Weights::Nominal;
-    many.limits.notes = true;
+    many.limits.gossip = true;
     many.limits.slots = Some(3);
     many.limits.max_open = Some(12);
     vec![plain, ordered, apart, bundles, many]
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -14,7 +14,7 @@
 }
 
 fn lets_go(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::LetGo(_)))
+    actions.iter().any(|a| matches!(a, Action::CloseIdleConnections(_)))
 }
 
 /// Takes the only endpoint of a destination out: two messages fail to connect.
@@ -62,7 +62,7 @@
         done.extend(b.wait(S));
         probed |= done.iter().any(|a| matches!(a, Action::Probe(_)));
         while let Some(a) = b.in_flight.first().copied() {
-            b.returns_with_report(a.id, Outcome::Full(None), vec![left, limit]);
+            b.returns_with_report(a.id, Outcome::Refused(None), vec![left, limit]);
         }
     }
     probed
@@ -103,7 +103,7 @@
     for seed in 0..40 {
         let mut b = SenderHarness::seeded(one_of_many(), vec![Entry { weight: 50.0, ..entry(1, 7) }], seed);
         b.demand(1, 7, 0);
-        b.returns(1, Outcome::Full(Some(Micros(8 * S))));
+        b.returns(1, Outcome::Refused(Some(Micros(8 * S))));
         assert!(attempted_ids(&b.wait(8 * S - 1)).is_empty());
         first_two_seconds += attempted_ids(&b.wait(2 * S)).len();
     }
@@ -156,7 +156,7 @@
             b.wait(100_000);
             while let Some(a) = b.in_flight.first().copied() {
                 sent.push(a.sent);
-                b.returns_with_report(a.id, Outcome::Full(None), vec![0.0]);
+                b.returns_with_report(a.id, Outcome::Refused(None), vec![0.0]);
             }
         }
         // A tenth of the 150 handed in keeps asking, and a few before the pace has sunk.
@@ -209,13 +209,13 @@
 #[test]
 fn a_return_is_noted_to_all_and_a_note_opens_the_ramp() {
     let mut set = one_of_many();
-    set.limits.notes = true;
+    set.limits.gossip = true;
     let list = || vec![Entry { weight: 5.0, ..entry(1, 7) }];
     let mut first = SenderHarness::new(set.clone(), list());
     down(&mut first, 7);
     comes_back(&mut first);
     let note = first.last_actions.iter().find_map(|a| match a {
-        Action::Note { to: None, bytes } => Some(bytes.clone()),
+        Action::SendGossip { to: None, bytes } => Some(bytes.clone()),
         _ => None,
     });
     let note = note.expect("a note to all");
@@ -225,7 +225,7 @@
         down(&mut b, 7);
         (0..40).for_each(|id| drop(b.demand(id, 7, 0)));
         if let Some(bytes) = bytes {
-            b.feed(vec![Event::PeerNote { from: PeerId(3), bytes }]);
+            b.feed(vec![Event::PeerGossip { from: PeerId(3), bytes }]);
         }
         b.wait(10 * S);
         b.in_flight.len()
@@ -242,7 +242,7 @@
     let mut b = SenderHarness::new(one_of_many(), vec![Entry { weight: 5.0, ..entry(1, 7) }]);
     down(&mut b, 7);
     comes_back(&mut b);
-    assert!(!b.last_actions.iter().any(|a| matches!(a, Action::Note { .. })));
+    assert!(!b.last_actions.iter().any(|a| matches!(a, Action::SendGossip { .. })));
 }
 
 #[test]
@@ -288,7 +288,7 @@
         let mut at_first = 0;
         for seed in 0..60 {
             let mut set = one_of_many();
-            set.kinds[0].routes_apart = apart;
+            set.kinds[0].separate_routes = apart;
             let mut b = SenderHarness::seeded(set, vec![entry(1, 7), entry(2, 7), entry(3, 7)], seed);
             b.demand(1, 7, 0);
             at_first += usize::from(b.in_flight[0].endpoint == endpoint(1));
@@ -323,7 +323,7 @@
     let sent_in_two_seconds = |trial_after: u64| {
         let mut b = SenderHarness::new(one_of_many(), vec![Entry { weight: 500.0, ..entry(1, 7) }]);
         down(&mut b, 7);
-        b.feed(vec![Event::Hangup(MessageId(901)), Event::Hangup(MessageId(902))]);
+        b.feed(vec![Event::Withdrawn(MessageId(901)), Event::Withdrawn(MessageId(902))]);
         b.wait(trial_after);
         (10..60).for_each(|id| drop(b.demand(id, 7, 0)));
         b.wait(2 * S);
@@ -365,7 +365,7 @@
         b.demand(300 + n, n as u16, 0);
 
         b.returns(300 + n, Outcome::ConnectFailed);
-        b.feed(vec![Event::Hangup(MessageId(300 + n))]);
+        b.feed(vec![Event::Withdrawn(MessageId(300 + n))]);
     }
     assert_eq!((lets_go_at(&mut b, 1, 400), lets_go_at(&mut b, 60, 500)), (1, 0));
 }
@@ -382,7 +382,7 @@
         b.wait(250_000);
         let whole = b.now > 40 * S;
         while let Some(a) = b.in_flight.first().copied() {
-            b.returns(a.id, if whole { Outcome::Ok } else { Outcome::Full(None) });
+            b.returns(a.id, if whole { Outcome::Ok } else { Outcome::Refused(None) });
             taken[usize::from(b.now > 50 * S)] += u32::from(whole);
         }
     }
@@ -401,7 +401,7 @@
         done.extend(b.demand(id, 7, 0));
         done.extend(b.wait(S));
         while let Some(a) = b.in_flight.first().copied() {
-            done.extend(b.returns_with_report(a.id, Outcome::Full(None), vec![0.35, 50.0]));
+            done.extend(b.returns_with_report(a.id, Outcome::Refused(None), vec![0.35, 50.0]));
         }
     }
     assert!(done.iter().any(|a| matches!(a, Action::Log(text) if text.contains("is out"))));
@@ -415,7 +415,7 @@
     set.limits.max_open = None;
     let mut b = SenderHarness::new(set, vec![entry(1, 7), entry(2, 8)]);
     b.demand(0, 7, 0);
-    b.returns(0, Outcome::Full(Some(Micros(60 * S))));
+    b.returns(0, Outcome::Refused(Some(Micros(60 * S))));
     for id in 1..1_000 {
         assert!(attempted_ids(&b.demand(id, 7, 0)).is_empty());
     }
@@ -457,7 +457,7 @@
     let (mut now, mut ends) = (10_000u64, std::collections::BTreeMap::new());
     let mut attempts = std::collections::BTreeMap::new();
     while ends.len() < 900 && now < 20 * S {
-        let mut events = vec![Event::Elapsed(TimerToken(0))];
+        let mut events = vec![Event::TimerElapsed(TimerToken(0))];
         for action in std::mem::take(&mut actions) {
             match action {
                 // Told to wait for longer than any of them lives.
@@ -466,7 +466,7 @@
                     events.push(Event::Returned {
                         id,
                         endpoint,
-                        outcome: Outcome::Full(Some(Micros(60 * S))),
+                        outcome: Outcome::Refused(Some(Micros(60 * S))),
                         terminal: false,
                         latency: Micros(1_000),
                         attempt: *attempt,
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -107,7 +107,7 @@
                 let own = held.values().filter(|h| h.owner == n);
                 let resumed = own.map(|h| {
                     let message = h.message.clone();
-                    Event::Resumed { message, tries: h.tries, risk: None }
+                    Event::Resumed { message, attempts: h.tries, first_uncertain: None }
                 });
                 life.feed(resumed.collect());
                 life.attempt_counts =
--- a/tests/support/sharing.rs
+++ b/tests/support/sharing.rs
@@ -49,7 +49,7 @@
         if taken {
             Outcome::Ok
         } else {
-            Outcome::Full(None)
+            Outcome::Refused(None)
         }
     }
 }
