--- a/src/policy/round.rs
+++ b/src/policy/round.rs
@@ -19,7 +19,7 @@
 
     /// Applies the events that happened up to `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
-        self.heed(now);
+        self.refresh_leased_shares(now);
         for event in events {
             self.apply_event(now, event, actions);
         }
--- a/src/sender_handover.rs
+++ b/src/sender_handover.rs
@@ -1,5 +1,6 @@
-//! What a sender passes on to the process that goes on in its place, beside the messages and the list: what it has learnt
-//! of destinations and endpoints, told waits, paces and budgets. It decides nothing; endpoints keep their ids.
+//! Export and import of a sender's learnt state for the handover to a replacing process: the state of destinations and
+//! endpoints, required waits, send rates and retry budgets. Messages and the endpoint list are handed over separately.
+//! This module makes no decisions. Endpoints keep their ids across the handover.
 
 use crate::api::*;
 use crate::policy::DEMAND_WINDOW;
@@ -8,19 +9,24 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
+/// The learnt state as JSON. The type parameters let the exporting side borrow what the importing side owns.
 #[derive(Serialize, Deserialize)]
-struct Learnt<D, R, E, S> {
+struct LearntState<D, R, E, S> {
     destinations: D,
     routes: R,
     endpoints: E,
-    reserve: S,
-    shares: Vec<Micros>,
-    hope: f64,
-    keep: Vec<(KindId, Micros)>,
+    #[serde(rename = "reserve")]
+    retry_reserve: S,
+    #[serde(rename = "shares")]
+    tenant_clocks: Vec<Micros>,
+    #[serde(rename = "hope")]
+    acceptance_after_refusal: f64,
+    #[serde(rename = "keep")]
+    idle_timeouts: Vec<(KindId, Micros)>,
 }
 
 type Pairs<K, V> = Vec<(K, V)>;
-type Read = Learnt<
+type ImportedState = LearntState<
     Pairs<DestinationId, Destination>,
     Pairs<RouteId, Route>,
     Pairs<EndpointId, Endpoint>,
@@ -29,31 +35,32 @@
 
 impl Sender {
     pub(crate) fn export_state(&self) -> EngineState {
-        let learnt = Learnt {
+        let learnt = LearntState {
             destinations: self.destinations.iter().collect::<Vec<_>>(),
             routes: self.routes.iter().collect::<Vec<_>>(),
             endpoints: self.endpoints.iter().collect::<Vec<_>>(),
-            reserve: &self.retry_reserve,
-            shares: self.tenant_clocks.clone(),
-            hope: self.acceptance_after_refusal,
-            keep: self.idle_timeouts.iter().map(|(k, v)| (*k, *v)).collect(),
+            retry_reserve: &self.retry_reserve,
+            tenant_clocks: self.tenant_clocks.clone(),
+            acceptance_after_refusal: self.acceptance_after_refusal,
+            idle_timeouts: self.idle_timeouts.iter().map(|(k, v)| (*k, *v)).collect(),
         };
-        // What can't be put into words is learnt anew.
+        // If the state can't be serialized, the new process starts without it and learns it again.
         EngineState(serde_json::to_value(learnt).unwrap_or_default())
     }
 
-    pub(crate) fn import_state(&mut self, carried: EngineState) {
-        let Ok(learnt) = serde_json::from_value::<Read>(carried.0) else { return };
+    pub(crate) fn import_state(&mut self, state: EngineState) {
+        let Ok(learnt) = serde_json::from_value::<ImportedState>(state.0) else { return };
         self.destinations = learnt.destinations.into_iter().collect();
         self.routes = learnt.routes.into_iter().collect();
-        self.retry_reserve = learnt.reserve;
-        if learnt.shares.len() == self.tenant_clocks.len() {
-            self.tenant_clocks = learnt.shares;
+        self.retry_reserve = learnt.retry_reserve;
+        if learnt.tenant_clocks.len() == self.tenant_clocks.len() {
+            self.tenant_clocks = learnt.tenant_clocks;
         }
-        self.acceptance_after_refusal = learnt.hope;
-        self.idle_timeouts = learnt.keep.into_iter().collect();
+        self.acceptance_after_refusal = learnt.acceptance_after_refusal;
+        self.idle_timeouts = learnt.idle_timeouts.into_iter().collect();
         for (id, mut endpoint) in learnt.endpoints {
-            // Its trial is out, and if it is not any more nobody would ever end the wait for it.
+            // The half-open trial was in flight in the replaced process. If it has ended by now, no outcome would follow
+            // and the endpoint would stay half-open for ever.
             if endpoint.health == Health::HalfOpen {
                 endpoint.health = Health::Ejected { trial_at: endpoint.last_trial_at, probed: false };
             }
@@ -62,13 +69,14 @@
         }
     }
 
-    /// A wait that a former life was told.
+    /// Restores a wait that a destination required from an earlier process run.
     pub(crate) fn restore_wait(&mut self, destination: DestinationId, until: Micros) {
         let route = self.routes.entry((destination, None)).or_default();
         route.wait_until = route.wait_until.max(until);
     }
 
-    /// A life that begins goes on from here. Where limits are told, by list or by report, they say it better.
+    /// Sets the initial send rate of a destination, unless the endpoint list or load reports publish rate limits, which are
+    /// more precise than a remembered rate.
     pub(crate) fn restore_send_rate(&mut self, destination: DestinationId, per_s: f64) {
         if self.settings.report_limit.is_none() && self.settings.weights == Weights::Off {
             self.routes.entry((destination, None)).or_default().send_rate.calls_per_s.get_or_insert(per_s);
@@ -76,10 +84,11 @@
     }
 
     pub(crate) fn demand(&self, now: Micros) -> Vec<(DestinationId, f64)> {
-        let lately =
+        let recent_count =
             |d: &Destination| d.recent_demand.iter().filter(|at| **at + DEMAND_WINDOW >= now).count();
-        let all = self.destinations.iter().map(|(id, d)| (*id, lately(d) as f64 / DEMAND_WINDOW.secs()));
-        all.filter(|(_, per_s)| *per_s > 0.0).collect()
+        let rates =
+            self.destinations.iter().map(|(id, d)| (*id, recent_count(d) as f64 / DEMAND_WINDOW.secs()));
+        rates.filter(|(_, per_s)| *per_s > 0.0).collect()
     }
 }
 
@@ -136,8 +145,8 @@
         Sender::export_state(self)
     }
 
-    fn import_state(&mut self, carried: EngineState) {
-        Sender::import_state(self, carried);
+    fn import_state(&mut self, state: EngineState) {
+        Sender::import_state(self, state);
     }
 }
 
@@ -152,11 +161,11 @@
         crate::settings::settings(config["settings"].take().to_string().as_bytes()).unwrap()
     }
 
-    const AT: EndpointId = EndpointId { addr: [0, 0, 0, 1], port: 0 };
+    const ENDPOINT: EndpointId = EndpointId { addr: [0, 0, 0, 1], port: 0 };
 
-    fn listed() -> Event {
+    fn endpoint_listed() -> Event {
         Event::ListChange(vec![Entry {
-            endpoint: AT,
+            endpoint: ENDPOINT,
             destination: DestinationId(3),
             kind: KindId(1),
             zone: ZoneId(0),
@@ -177,26 +186,26 @@
         }
     }
 
-    fn tries(actions: &[Action]) -> usize {
+    fn attempts(actions: &[Action]) -> usize {
         actions.iter().filter(|a| matches!(a, Action::Try { .. })).count()
     }
 
-    /// Danger: a wait that ends with the process that heard it is broken by the next one.
+    /// Guards against a wait that is lost with the process that received it: the next process would send too early.
     #[test]
-    fn a_told_wait_and_a_call_that_is_out_go_along() {
+    fn required_wait_and_call_in_flight_survive_handover() {
         let now = Micros(10_000_000);
         let mut old = Sender::new(settings(), 1);
         let mut actions = Vec::new();
-        old.handle(now - Micros(500_000), &[listed(), Event::Demand(message(1))], &mut actions);
+        old.handle(now - Micros(500_000), &[endpoint_listed(), Event::Demand(message(1))], &mut actions);
         old.handle(now, &[Event::Demand(message(2))], &mut actions);
-        assert_eq!(tries(&actions), 2);
+        assert_eq!(attempts(&actions), 2);
         let outcome = Outcome::Refused(Some(Micros(2_000_000)));
         let (attempt, latency, report) = (0, Micros(1000), Vec::new());
         old.handle(
             now + Micros(1000),
             &[Event::Returned {
                 id: MessageId(1),
-                endpoint: AT,
+                endpoint: ENDPOINT,
                 outcome,
                 terminal: false,
                 latency,
@@ -205,27 +214,27 @@
             }],
             &mut actions,
         );
-        let carried: EngineState =
+        let exported: EngineState =
             serde_json::from_str(&serde_json::to_string(&old.export_state()).unwrap()).unwrap();
         let mut new = Sender::new(settings(), 2);
-        new.import_state(carried);
+        new.import_state(exported);
         assert_eq!(new.told_wait(DestinationId(3)), now + Micros(2_001_000));
         actions.clear();
         let events = [
             Event::Resumed { message: message(1), attempts: 1, first_uncertain: None },
             Event::Resumed { message: message(2), attempts: 1, first_uncertain: None },
-            Event::CallInFlight { id: MessageId(2), endpoint: AT, sent: now },
-            listed(),
+            Event::CallInFlight { id: MessageId(2), endpoint: ENDPOINT, sent: now },
+            endpoint_listed(),
         ];
         new.handle(now + Micros(2000), &events, &mut actions);
-        assert_eq!(tries(&actions), 0, "one waits, one is out: {actions:?}");
-        assert_eq!(new.free_slots(), old.free_slots(), "the call holds its slot");
+        assert_eq!(attempts(&actions), 0, "one message waits, the other is in flight: {actions:?}");
+        assert_eq!(new.free_slots(), old.free_slots(), "the call in flight occupies its slot");
         let (outcome, report) = (Outcome::Ok, Vec::new());
         new.handle(
             now + Micros(100_000),
             &[Event::Returned {
                 id: MessageId(2),
-                endpoint: AT,
+                endpoint: ENDPOINT,
                 outcome,
                 terminal: true,
                 latency,
@@ -239,14 +248,14 @@
         for ms in 2..40 {
             new.handle(now + Micros(ms * 100_000), &[Event::TimerElapsed(TimerToken(0))], &mut actions);
             if ms < 20 {
-                assert_eq!(tries(&actions), 0, "the wait is on at {ms}");
+                assert_eq!(attempts(&actions), 0, "the wait still holds at {ms}");
             }
         }
-        assert_eq!(tries(&actions), 1);
+        assert_eq!(attempts(&actions), 1);
     }
 
     #[test]
-    fn what_is_not_understood_is_learnt_anew() {
+    fn unreadable_state_is_ignored() {
         let mut new = Sender::new(settings(), 2);
         new.import_state(EngineState(serde_json::json!({"destinations": 3})));
         new.import_state(EngineState::default());
