--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -4,7 +4,7 @@
 pub mod library;
 pub mod schema;
 
-use indigohold::checked::{self, Doc, Fault};
+use indigohold::checked::{self, Fault, ObjectReader};
 use indigohold::Micros;
 use indigohold_relay::Rule;
 use serde_json::Value;
@@ -343,11 +343,11 @@
     Micros::from_secs(seconds)
 }
 
-fn ms(doc: &Doc, name: &str, default: f64, most: f64) -> Micros {
+fn ms(doc: &ObjectReader, name: &str, default: f64, most: f64) -> Micros {
     micros(doc.number(name, default, 0.0..=most) / 1e3)
 }
 
-fn class(doc: &Doc) -> Class {
+fn class(doc: &ObjectReader) -> Class {
     let window = ms(doc, "window_ms", 15_000.0, 3.6e6);
     let group = doc.choice("group", &[("all", Group::All), ("endpoint", Group::Endpoint)]);
     let effect = doc.choice(
@@ -370,7 +370,7 @@
     }
 }
 
-fn tenant(doc: &Doc) -> Tenant {
+fn tenant(doc: &ObjectReader) -> Tenant {
     let quota = doc.number("quota_per_s", 0.0, 0.0..=1e9);
     Tenant {
         name: doc.text("name").unwrap_or_else(|| "tenant".into()),
@@ -379,7 +379,7 @@
     }
 }
 
-fn limit(doc: &Doc) -> Limit {
+fn limit(doc: &ObjectReader) -> Limit {
     let times = doc.number("times", 1.0, 0.001..=1e6);
     let window = ms(doc, "window_ms", 1_000.0, 3.6e6);
     let calls = doc.whole("calls", 4, 1..=1_000_000) as usize;
@@ -394,7 +394,7 @@
     )
 }
 
-fn destinations(doc: &Doc) -> Destinations {
+fn destinations(doc: &ObjectReader) -> Destinations {
     let count = doc.whole("count", 12, 1..=60_000) as usize;
     let per = doc.span("endpoints", (1.0, 2.0), 1.0..=64.0);
     let sigma = doc.number("sigma", 0.5, 0.0..=4.0);
@@ -435,7 +435,7 @@
     }
 }
 
-fn arrivals(doc: &Doc) -> Arrivals {
+fn arrivals(doc: &ObjectReader) -> Arrivals {
     let clump = doc.number("clump", 4.0, 1.0..=1e4);
     let (from, to) = (doc.number("from", 0.2, 0.0..=1e4), doc.number("to", 1.0, 0.0..=1e4));
     let (begins, ends) = (doc.number("begins_s", 0.0, 0.0..=1e6), doc.number("ends_s", 10.0, 0.0..=1e6));
@@ -456,8 +456,8 @@
     }
 }
 
-fn clients(doc: &Doc) -> Clients {
-    let surge = |d: &Doc| {
+fn clients(doc: &ObjectReader) -> Clients {
+    let surge = |d: &ObjectReader| {
         let from = d.number("from_s", 0.0, 0.0..=1e6);
         let to = d.number("to_s", 0.0, 0.0..=1e6);
         if to < from {
@@ -476,9 +476,9 @@
     }
 }
 
-fn registry(doc: &Doc) -> Registry {
+fn registry(doc: &ObjectReader) -> Registry {
     let late = doc.span("late_ms", (10.0, 200.0), 0.0..=3.6e6);
-    let down = |d: &Doc| (d.number("from_s", 0.0, 0.0..=1e6), d.number("to_s", 0.0, 0.0..=1e6));
+    let down = |d: &ObjectReader| (d.number("from_s", 0.0, 0.0..=1e6), d.number("to_s", 0.0, 0.0..=1e6));
     Registry {
         late: (late.0 / 1e3, late.1 / 1e3),
         down: doc.objects("down", 100, down),
@@ -487,7 +487,7 @@
     }
 }
 
-fn fault(doc: &Doc) -> Fault_ {
+fn fault(doc: &ObjectReader) -> Fault_ {
     let number = doc.whole("number", 0, 0..=60_000) as usize;
     let every = doc.whole("every_nth", 2, 1..=60_000) as usize;
     let times = doc.number("times", 0.2, 0.0..=1e4);
@@ -519,7 +519,7 @@
     }
 }
 
-fn kill(doc: &Doc) -> Kill {
+fn kill(doc: &ObjectReader) -> Kill {
     let copied = doc.number("copied_s", 1.0, 0.0..=1e6);
     let room = doc.whole("room_bytes", 4_096, 0..=1 << 40);
     let folders = [
@@ -541,7 +541,7 @@
     }
 }
 
-fn pause(doc: &Doc) -> Pause {
+fn pause(doc: &ObjectReader) -> Pause {
     Pause {
         at: doc.number("at_s", 5.0, 0.0..=1e6),
         count: doc.whole("count", 1, 1..=100_000) as usize,
@@ -549,7 +549,7 @@
     }
 }
 
-fn courier(doc: &Doc) -> Courier {
+fn courier(doc: &ObjectReader) -> Courier {
     Courier {
         instances: doc.whole("instances", 4, 1..=10_000) as usize,
         slots: doc.whole("slots", 16, 1..=256) as usize,
@@ -560,7 +560,7 @@
     }
 }
 
-fn scenario(doc: &Doc) -> Scenario {
+fn scenario(doc: &ObjectReader) -> Scenario {
     let classes = doc.objects("classes", 16, class);
     let tenants = doc.objects("tenants", 64, tenant);
     let network = doc.span("network_ms", (0.2, 0.6), 0.0..=10_000.0);
@@ -601,7 +601,7 @@
 }
 
 /// What holds where an object is left out.
-fn absent<T>(by: impl Fn(&Doc) -> T) -> T {
+fn absent<T>(by: impl Fn(&ObjectReader) -> T) -> T {
     checked::read(b"{}", by).unwrap_or_else(|_| unreachable!("defaults are within their bounds"))
 }
 
--- a/relay/src/rules.rs
+++ b/relay/src/rules.rs
@@ -3,7 +3,7 @@
 
 use crate::frames::Part;
 pub use crate::links::{LinkName, Links};
-use indigohold::checked::Doc;
+use indigohold::checked::ObjectReader;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use sha2::{Digest, Sha256};
@@ -214,7 +214,7 @@
 }
 
 /// Reads a rule of a file.
-pub fn read(doc: &Doc) -> Rule {
+pub fn read(doc: &ObjectReader) -> Rule {
     let whole = |name: &str, default: u64, most: u64| doc.whole(name, default, 0..=most);
     let ms = doc.span("ms", (100.0, 100.0), 0.0..=3.6e6);
     let grows = doc.number("grows_ms_per_s", 0.0, 0.0..=3.6e6);
--- a/relay/src/script.rs
+++ b/relay/src/script.rs
@@ -3,7 +3,7 @@
 use crate::links::Ends;
 use crate::relay::Limits;
 use crate::rules::{self, LinkName, Rule};
-use indigohold::checked::{self, Doc, Fault};
+use indigohold::checked::{self, Fault, ObjectReader};
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
     pub limits: Limits,
 }
 
-fn link(doc: &Doc) -> (LinkName, SocketAddr) {
+fn link(doc: &ObjectReader) -> (LinkName, SocketAddr) {
     let text = |name: &str| {
         doc.text(name).unwrap_or_else(|| {
             doc.fault(name, "it is needed");
@@ -41,7 +41,7 @@
 }
 
 /// An address on loopback, if one is given.
-fn courier(doc: &Doc) -> (String, Option<SocketAddr>) {
+fn courier(doc: &ObjectReader) -> (String, Option<SocketAddr>) {
     let listen = doc.text("listen").and_then(|text| {
         let addr = text.parse::<SocketAddr>().ok().filter(|addr| addr.ip().is_loopback());
         if addr.is_none() {
@@ -56,7 +56,7 @@
     (name, listen)
 }
 
-fn script(doc: &Doc) -> Script {
+fn script(doc: &ObjectReader) -> Script {
     let usual = Limits::default();
     let limit = |name: &str, usual: usize, most: u64| doc.whole(name, usual as u64, 1..=most) as usize;
     let couriers = doc.objects("couriers", 1_000, courier);
--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -3,7 +3,7 @@
 
 use super::Rules;
 use crate::api::Micros;
-use crate::checked::{self, Doc, Fault};
+use crate::checked::{self, Fault, ObjectReader};
 use std::io::ErrorKind;
 use std::path::Path;
 
@@ -93,7 +93,7 @@
     })
 }
 
-fn wishes(doc: &Doc, d: &Wishes) -> Wishes {
+fn wishes(doc: &ObjectReader, d: &Wishes) -> Wishes {
     let ms = |name: &str, default: Micros, most: f64| {
         Micros::from_secs(doc.number(name, default.0 as f64 / 1e3, 0.0..=most) / 1e3)
     };
--- a/src/ask/config.rs
+++ b/src/ask/config.rs
@@ -2,7 +2,7 @@
 
 use super::Kind;
 use crate::api::Micros;
-use crate::checked::{self, Doc, Fault};
+use crate::checked::{self, Fault, ObjectReader};
 use std::collections::BTreeSet;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -164,11 +164,11 @@
     })
 }
 
-fn ms(doc: &Doc, name: &str, default: Micros, within: RangeInclusive<f64>) -> Micros {
+fn ms(doc: &ObjectReader, name: &str, default: Micros, within: RangeInclusive<f64>) -> Micros {
     Micros::from_secs(doc.number(name, default.0 as f64 / 1e3, within) / 1e3)
 }
 
-fn worth(doc: &Doc, d: &Worth) -> Worth {
+fn worth(doc: &ObjectReader, d: &Worth) -> Worth {
     let worth = Worth {
         share: doc.number("share", d.share, 0.0..=1e9),
         whole: doc.number("whole", d.whole, 0.0..=1e9),
@@ -181,7 +181,7 @@
     worth
 }
 
-fn prior(doc: &Doc, d: &Prior) -> Prior {
+fn prior(doc: &ObjectReader, d: &Prior) -> Prior {
     Prior {
         median: ms(doc, "median_ms", d.median, 1.0..=16_000.0),
         spread: doc.number("spread", d.spread, 0.1..=4.0),
@@ -189,7 +189,7 @@
     }
 }
 
-fn memory(doc: &Doc, d: &Memory) -> Memory {
+fn memory(doc: &ObjectReader, d: &Memory) -> Memory {
     Memory {
         answers: doc.number("answers", d.answers, 4.0..=10_000.0),
         half_life: Micros::from_secs(doc.number("half_life_s", d.half_life.secs(), 1.0..=1e7)),
@@ -198,7 +198,7 @@
     }
 }
 
-fn most(doc: &Doc, d: &Most) -> Most {
+fn most(doc: &ObjectReader, d: &Most) -> Most {
     Most {
         questions: doc.whole("questions", d.questions as u64, 1..=256) as usize,
         ended: doc.whole("ended", d.ended as u64, 1..=256) as usize,
@@ -206,7 +206,7 @@
     }
 }
 
-fn couriers(doc: &Doc) -> Vec<Peer> {
+fn couriers(doc: &ObjectReader) -> Vec<Peer> {
     let list = doc.objects("couriers", COURIERS, |doc| {
         let name = doc.text("name").unwrap_or_else(|| {
             doc.fault("name", "not set");
--- a/src/checked.rs
+++ b/src/checked.rs
@@ -1,11 +1,12 @@
-//! Operators' JSON files, checked whole: every fault is named with its path in the file, not only the first one.
+//! Reads and validates operators' JSON files. A file is checked completely: every fault is reported with its path in the
+//! file, not only the first one.
 //!
 //! ```
 //! use indigohold::checked;
 //!
 //! let text = r#"{"kept": {"every_ms": -1, "evry": 2}}"#;
-//! let read = |doc: &checked::Doc| {
-//!     doc.object("kept", |kept| kept.number("every_ms", 2_000.0, 10.0..=60_000.0)).unwrap_or(2_000.0)
+//! let read = |file: &checked::ObjectReader| {
+//!     file.object("kept", |kept| kept.number("every_ms", 2_000.0, 10.0..=60_000.0)).unwrap_or(2_000.0)
 //! };
 //! let faults = checked::read(text.as_bytes(), read).unwrap_err();
 //! let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
@@ -21,12 +22,12 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// One thing that is wrong in a file.
+/// A validation error in a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
-    /// Where, as in `kept.every_ms` or `also[2]`; empty for the file as a whole.
+    /// The path of the setting, such as `kept.every_ms` or `also[2]`; empty if the error concerns the whole file.
     pub path: String,
-    /// What.
+    /// The error message, without the path.
     pub what: String,
 }
 
@@ -39,68 +40,70 @@
     }
 }
 
-/// What a setting may be.
+/// The type and the bounds of a setting.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Kind {
     /// A number within bounds.
     Number {
-        /// What holds where it is left out.
+        /// The value that applies if the setting is absent.
         default: f64,
-        /// The bounds.
+        /// The lowest and the highest value permitted.
         within: (f64, f64),
-        /// It must be whole.
+        /// Whether it must be a whole number.
         whole: bool,
     },
     /// True or false.
     Flag {
-        /// What holds where it is left out.
+        /// The value that applies if the setting is absent.
         default: bool,
     },
-    /// A text that is not empty.
+    /// A non-empty string.
     Text,
-    /// A list of texts, so many at the most.
+    /// A list of strings, with its maximum length.
     Texts(usize),
-    /// One of these words; the first where it is left out.
+    /// One of these words; the first is the default.
     Choice(Vec<String>),
-    /// Two numbers within bounds, the lower one first, or one that stands for both.
+    /// A pair of numbers within bounds, the lower one first, or a single number that stands for both.
     Span {
-        /// What holds where it is left out.
+        /// The value that applies if the setting is absent.
         default: (f64, f64),
-        /// The bounds.
+        /// The lowest and the highest value permitted.
         within: (f64, f64),
     },
     /// An object.
     Object,
-    /// A list of objects, so many at the most; the settings of one have the path of the list.
+    /// A list of objects, with its maximum length. The settings of its entries are described under the path of the list.
     Objects(usize),
 }
 
 /// One setting that a file may have.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Setting {
-    /// Where, as in `kept.every_ms`.
+    /// Its path, such as `kept.every_ms`.
     pub path: String,
-    /// What it may be.
+    /// Its type and bounds.
     pub kind: Kind,
 }
 
-/// One object of a file.
-pub struct Doc<'a> {
+/// Reads the settings of one JSON object of a file and collects the faults.
+pub struct ObjectReader<'a> {
     path: String,
     fields: &'a Map<String, Value>,
-    asked: RefCell<BTreeSet<String>>,
+    /// The names that were requested so far; any other name in the object is unknown.
+    requested: RefCell<BTreeSet<String>>,
     faults: &'a RefCell<Vec<Fault>>,
-    /// Where the settings that are asked for are noted, if the form is described and no file read.
-    notes: Option<&'a RefCell<Vec<Setting>>>,
+    /// Collects the requested settings if the file's schema is described and no file is read.
+    schema: Option<&'a RefCell<Vec<Setting>>>,
 }
 
-/// All settings that `by` asks for, in its order: the form of the file, always as the reader has it.
-pub fn describe<T>(by: impl FnOnce(&Doc) -> T) -> Vec<Setting> {
-    let (faults, notes, fields) = (RefCell::new(Vec::new()), RefCell::new(Vec::new()), Map::new());
-    let (asked, notes_of) = (RefCell::default(), Some(&notes));
-    by(&Doc { path: String::new(), fields: &fields, asked, faults: &faults, notes: notes_of });
+/// Returns all settings that `read` requests, in its order. The schema is taken from the reading code itself, so the two
+/// can't diverge.
+pub fn describe<T>(read: impl FnOnce(&ObjectReader) -> T) -> Vec<Setting> {
+    let (faults, settings, fields) = (RefCell::new(Vec::new()), RefCell::new(Vec::new()), Map::new());
+    let (requested, schema) = (RefCell::default(), Some(&settings));
+    read(&ObjectReader { path: String::new(), fields: &fields, requested, faults: &faults, schema });
     let mut out: Vec<Setting> = Vec::new();
-    for setting in notes.into_inner() {
+    for setting in settings.into_inner() {
         if !out.iter().any(|s| s.path == setting.path) {
             out.push(setting);
         }
@@ -108,15 +111,16 @@
     out
 }
 
-/// Reads a file with whatever `by` asks for. What it did not ask for is a fault too.
-pub fn read<T>(bytes: &[u8], by: impl FnOnce(&Doc) -> T) -> Result<T, Vec<Fault>> {
+/// Reads a file by the settings that `read_settings` requests. A setting that it doesn't request is a fault too.
+pub fn read<T>(bytes: &[u8], read_settings: impl FnOnce(&ObjectReader) -> T) -> Result<T, Vec<Fault>> {
     let fault = |what: String| vec![Fault { path: String::new(), what }];
     let value: Value = serde_json::from_slice(bytes).map_err(|e| fault(e.to_string()))?;
     let Value::Object(fields) = &value else { return Err(fault("it must be an object".into())) };
     let faults = RefCell::new(Vec::new());
-    let doc = Doc { path: String::new(), fields, asked: RefCell::default(), faults: &faults, notes: None };
-    let out = by(&doc);
-    doc.strangers();
+    let requested = RefCell::default();
+    let reader = ObjectReader { path: String::new(), fields, requested, faults: &faults, schema: None };
+    let out = read_settings(&reader);
+    reader.report_unknown_settings();
     let faults = faults.into_inner();
     if faults.is_empty() {
         Ok(out)
@@ -125,8 +129,8 @@
     }
 }
 
-impl Doc<'_> {
-    fn at(&self, name: &str) -> String {
+impl ObjectReader<'_> {
+    fn path_of(&self, name: &str) -> String {
         if self.path.is_empty() {
             name.to_owned()
         } else {
@@ -134,32 +138,36 @@
         }
     }
 
-    /// Something is wrong with a setting.
+    /// Records a fault of a setting.
     pub fn fault(&self, name: &str, what: impl Into<String>) {
-        self.faults.borrow_mut().push(Fault { path: self.at(name), what: what.into() });
+        self.faults.borrow_mut().push(Fault { path: self.path_of(name), what: what.into() });
     }
 
-    fn note(&self, name: &str, kind: impl FnOnce() -> Kind) {
-        if let Some(notes) = self.notes {
-            notes.borrow_mut().push(Setting { path: self.at(name), kind: kind() });
+    fn describe_setting(&self, name: &str, kind: impl FnOnce() -> Kind) {
+        if let Some(schema) = self.schema {
+            schema.borrow_mut().push(Setting { path: self.path_of(name), kind: kind() });
         }
     }
 
     fn get(&self, name: &str) -> Option<&Value> {
-        self.asked.borrow_mut().insert(name.to_owned());
+        self.requested.borrow_mut().insert(name.to_owned());
         self.fields.get(name).filter(|v| !v.is_null())
     }
 
-    fn strangers(&self) {
-        let asked = self.asked.borrow();
-        for name in self.fields.keys().filter(|name| !asked.contains(*name)) {
+    fn report_unknown_settings(&self) {
+        let requested = self.requested.borrow();
+        for name in self.fields.keys().filter(|name| !requested.contains(*name)) {
             self.fault(name, "no such setting");
         }
     }
 
-    /// A number within bounds.
+    /// Reads a number within bounds.
     pub fn number(&self, name: &str, default: f64, within: RangeInclusive<f64>) -> f64 {
-        self.note(name, || Kind::Number { default, within: (*within.start(), *within.end()), whole: false });
+        self.describe_setting(name, || Kind::Number {
+            default,
+            within: (*within.start(), *within.end()),
+            whole: false,
+        });
         let Some(value) = self.get(name) else { return default };
         let Some(number) = value.as_f64() else {
             self.fault(name, format!("{value} is no number"));
@@ -172,10 +180,10 @@
         number
     }
 
-    /// A whole number within bounds.
+    /// Reads a whole number within bounds.
     pub fn whole(&self, name: &str, default: u64, within: RangeInclusive<u64>) -> u64 {
         let bounds = (*within.start() as f64, *within.end() as f64);
-        self.note(name, || Kind::Number { default: default as f64, within: bounds, whole: true });
+        self.describe_setting(name, || Kind::Number { default: default as f64, within: bounds, whole: true });
         let number = self.number(name, default as f64, *within.start() as f64..=*within.end() as f64);
         if number.fract() != 0.0 {
             self.fault(name, format!("{number} is no whole number"));
@@ -183,9 +191,9 @@
         number as u64
     }
 
-    /// True or false.
+    /// Reads a boolean.
     pub fn flag(&self, name: &str, default: bool) -> bool {
-        self.note(name, || Kind::Flag { default });
+        self.describe_setting(name, || Kind::Flag { default });
         let Some(value) = self.get(name) else { return default };
         value.as_bool().unwrap_or_else(|| {
             self.fault(name, format!("{value} is neither true nor false"));
@@ -193,9 +201,9 @@
         })
     }
 
-    /// A text that is not empty.
+    /// Reads a non-empty string; `None` if it is absent.
     pub fn text(&self, name: &str) -> Option<String> {
-        self.note(name, || Kind::Text);
+        self.describe_setting(name, || Kind::Text);
         let value = self.get(name)?;
         let text = value.as_str().filter(|t| !t.is_empty());
         if text.is_none() {
@@ -204,94 +212,96 @@
         text.map(str::to_owned)
     }
 
-    /// A list of texts, each read by `by`; whose error says what is wrong with one.
-    pub fn texts<T>(&self, name: &str, most: usize, by: impl Fn(&str) -> Result<T, String>) -> Vec<T> {
-        self.note(name, || Kind::Texts(most));
+    /// Reads a list of strings, at most `max_len`, and parses each. The error of `parse` becomes the fault of that entry.
+    pub fn texts<T>(&self, name: &str, max_len: usize, parse: impl Fn(&str) -> Result<T, String>) -> Vec<T> {
+        self.describe_setting(name, || Kind::Texts(max_len));
         let Some(value) = self.get(name) else { return Vec::new() };
         let Value::Array(list) = value else {
             self.fault(name, format!("{value} is no list"));
             return Vec::new();
         };
-        if list.len() > most {
-            self.fault(name, format!("{} entries are more than {most}", list.len()));
+        if list.len() > max_len {
+            self.fault(name, format!("{} entries are more than {max_len}", list.len()));
         }
         let mut out = Vec::new();
-        for (n, entry) in list.iter().enumerate() {
-            match entry.as_str().ok_or_else(|| format!("{entry} is no text")).and_then(&by) {
-                Ok(read) => out.push(read),
-                Err(what) => self.fault(&format!("{name}[{n}]"), what),
+        for (index, entry) in list.iter().enumerate() {
+            match entry.as_str().ok_or_else(|| format!("{entry} is no text")).and_then(&parse) {
+                Ok(parsed) => out.push(parsed),
+                Err(what) => self.fault(&format!("{name}[{index}]"), what),
             }
         }
         out
     }
 
-    /// An object within this one; `None` if it is absent.
-    pub fn object<T>(&self, name: &str, by: impl FnOnce(&Doc) -> T) -> Option<T> {
-        if self.notes.is_some() {
-            self.note(name, || Kind::Object);
-            return Some(by(&self.within(name, &Map::new())));
+    /// Reads a nested object; `None` if it is absent.
+    pub fn object<T>(&self, name: &str, read: impl FnOnce(&ObjectReader) -> T) -> Option<T> {
+        if self.schema.is_some() {
+            self.describe_setting(name, || Kind::Object);
+            return Some(read(&self.nested(name, &Map::new())));
         }
         let value = self.get(name)?;
         let Value::Object(fields) = value else {
             self.fault(name, format!("{value} is no object"));
             return None;
         };
-        let doc = self.within(name, fields);
-        let out = by(&doc);
-        doc.strangers();
+        let nested = self.nested(name, fields);
+        let out = read(&nested);
+        nested.report_unknown_settings();
         Some(out)
     }
 
-    fn within<'b>(&'b self, name: &str, fields: &'b Map<String, Value>) -> Doc<'b> {
-        let (asked, faults, notes) = (RefCell::default(), self.faults, self.notes);
-        Doc { path: self.at(name), fields, asked, faults, notes }
+    fn nested<'b>(&'b self, name: &str, fields: &'b Map<String, Value>) -> ObjectReader<'b> {
+        let (requested, faults, schema) = (RefCell::default(), self.faults, self.schema);
+        ObjectReader { path: self.path_of(name), fields, requested, faults, schema }
     }
 
-    /// A list of objects, each read by `by`; empty if it is absent.
-    pub fn objects<T>(&self, name: &str, most: usize, by: impl Fn(&Doc) -> T) -> Vec<T> {
-        if self.notes.is_some() {
-            self.note(name, || Kind::Objects(most));
-            return vec![by(&self.within(name, &Map::new()))];
+    /// Reads a list of objects, at most `max_len`; empty if it is absent.
+    pub fn objects<T>(&self, name: &str, max_len: usize, read: impl Fn(&ObjectReader) -> T) -> Vec<T> {
+        if self.schema.is_some() {
+            self.describe_setting(name, || Kind::Objects(max_len));
+            return vec![read(&self.nested(name, &Map::new()))];
         }
         let Some(value) = self.get(name) else { return Vec::new() };
         let Value::Array(list) = value else {
             self.fault(name, format!("{value} is no list"));
             return Vec::new();
         };
-        if list.len() > most {
-            self.fault(name, format!("{} entries are more than {most}", list.len()));
+        if list.len() > max_len {
+            self.fault(name, format!("{} entries are more than {max_len}", list.len()));
         }
         let mut out = Vec::new();
-        for (n, entry) in list.iter().take(most).enumerate() {
+        for (index, entry) in list.iter().take(max_len).enumerate() {
             let Value::Object(fields) = entry else {
-                self.fault(&format!("{name}[{n}]"), format!("{entry} is no object"));
+                self.fault(&format!("{name}[{index}]"), format!("{entry} is no object"));
                 continue;
             };
-            let doc = self.within(&format!("{name}[{n}]"), fields);
-            out.push(by(&doc));
-            doc.strangers();
+            let nested = self.nested(&format!("{name}[{index}]"), fields);
+            out.push(read(&nested));
+            nested.report_unknown_settings();
         }
         out
     }
 
-    /// One of a few words, the first of them if it is absent.
-    pub fn choice<T: Copy>(&self, name: &str, of: &[(&str, T)]) -> T {
-        self.note(name, || Kind::Choice(of.iter().map(|(word, _)| (*word).to_owned()).collect()));
-        let Some(value) = self.get(name) else { return of[0].1 };
-        let found = value.as_str().and_then(|text| of.iter().find(|(word, _)| *word == text));
+    /// Reads one of a fixed set of words; the first is the default.
+    pub fn choice<T: Copy>(&self, name: &str, choices: &[(&str, T)]) -> T {
+        self.describe_setting(name, || {
+            Kind::Choice(choices.iter().map(|(word, _)| (*word).to_owned()).collect())
+        });
+        let Some(value) = self.get(name) else { return choices[0].1 };
+        let found = value.as_str().and_then(|text| choices.iter().find(|(word, _)| *word == text));
         found.map_or_else(
             || {
-                let words: Vec<&str> = of.iter().map(|(word, _)| *word).collect();
+                let words: Vec<&str> = choices.iter().map(|(word, _)| *word).collect();
                 self.fault(name, format!("{value} is none of {}", words.join(", ")));
-                of[0].1
+                choices[0].1
             },
             |(_, value)| *value,
         )
     }
 
-    /// Two numbers, the lower one first, both within bounds; one number stands for both.
+    /// Reads a pair of numbers within bounds, the lower one first; a single number stands for both.
     pub fn span(&self, name: &str, default: (f64, f64), within: RangeInclusive<f64>) -> (f64, f64) {
-        self.note(name, || Kind::Span { default, within: (*within.start(), *within.end()) });
+        self.describe_setting(name, || Kind::Span { default, within: (*within.start(), *within.end()) });
         let Some(value) = self.get(name) else { return default };
         let pair = match value {
             Value::Array(list) if list.len() == 2 => list[0].as_f64().zip(list[1].as_f64()),
--- a/src/daemon/parts.rs
+++ b/src/daemon/parts.rs
@@ -10,7 +10,7 @@
 use crate::net::peers::riders::{self, Place};
 use crate::net::{mail, platform};
 use crate::register::kept_copy::KeptCopyWriter;
-use crate::settings::Names;
+use crate::settings::NetworkSettings;
 use crate::store::Journal;
 use std::path::Path;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 }
 
 /// Names of classes by their position, the mail front's included.
-pub(crate) fn classes_of(names: &Names, mail: Option<&mail::config::MailConfig>) -> Vec<String> {
+pub(crate) fn classes_of(names: &NetworkSettings, mail: Option<&mail::config::MailConfig>) -> Vec<String> {
     let mut classes = names.classes.clone();
     for (name, place) in mail.iter().flat_map(|m| &m.classes) {
         classes.resize(classes.len().max(usize::from(*place) + 1), String::new());
--- a/src/history/config.rs
+++ b/src/history/config.rs
@@ -3,7 +3,7 @@
 use super::hearing::Quorum;
 use super::retention::{Scope, Word, ANY, LONGEST};
 use crate::api::Micros;
-use crate::checked::{self, Doc, Fault};
+use crate::checked::{self, Fault, ObjectReader};
 use std::io::ErrorKind;
 use std::path::Path;
 
@@ -74,11 +74,11 @@
     checked::read(bytes, |doc| config(doc, tenants, classes))
 }
 
-fn config(doc: &Doc, tenants: &[String], classes: &[String]) -> HistoryConfig {
-    let secs = |doc: &Doc, name: &str, default: f64, most: f64| {
+fn config(doc: &ObjectReader, tenants: &[String], classes: &[String]) -> HistoryConfig {
+    let secs = |doc: &ObjectReader, name: &str, default: f64, most: f64| {
         Micros::from_secs(doc.number(name, default, 0.0..=most))
     };
-    let replay = |r: &Doc| {
+    let replay = |r: &ObjectReader| {
         let per_s = r.number("per_s", 20.0, 0.01..=1e4);
         (per_s, secs(r, "again_after_s", 86_400.0, 1e8), r.whole("stands_s", DAY, 1..=100_000_000) as u32)
     };
@@ -109,7 +109,7 @@
     config
 }
 
-fn policy(doc: &Doc, tenants: &[String], classes: &[String]) -> Policy {
+fn policy(doc: &ObjectReader, tenants: &[String], classes: &[String]) -> Policy {
     let named = |name: &str, of: &[String]| {
         let Some(text) = doc.text(name) else { return ANY };
         let found = of.iter().position(|n| *n == text).filter(|at| *at < usize::from(ANY));
--- a/src/net/mail/config.rs
+++ b/src/net/mail/config.rs
@@ -2,7 +2,7 @@
 
 use super::dns::zone;
 use crate::api::{Class, Effect, Micros, Settings};
-use crate::settings::Names;
+use crate::settings::NetworkSettings;
 use hickory_proto::rr::Name;
 use serde::Deserialize;
 use std::collections::{BTreeMap, HashSet};
@@ -118,7 +118,9 @@
 
 /// Reads the file; `None`: the front is off. Adds to the settings the classes as mail takes them: over mail
 /// nobody drops a repeat, so a class whose repeats are dropped on the platform is one that must not be repeated.
-pub fn read(path: &Path, settings: &mut Settings, names: &Names) -> Result<Option<MailConfig>, String> {
+pub fn read(
+    path: &Path, settings: &mut Settings, names: &NetworkSettings,
+) -> Result<Option<MailConfig>, String> {
     let place = path.display();
     let mut bytes = match std::fs::read(path) {
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => return Ok(None),
@@ -131,7 +133,9 @@
     build(file, path, settings, names).map(Some).map_err(|e| format!("{place}: {e}"))
 }
 
-fn build(file: File, path: &Path, settings: &mut Settings, names: &Names) -> Result<MailConfig, String> {
+fn build(
+    file: File, path: &Path, settings: &mut Settings, names: &NetworkSettings,
+) -> Result<MailConfig, String> {
     if file.hostname.is_empty()
         || !file.hostname.bytes().all(|b| b.is_ascii_alphanumeric() || b"-.".contains(&b))
     {
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -22,7 +22,7 @@
 use crate::core::Courier;
 use crate::register::address_rotation::AddressRotation;
 use crate::register::list::KindAndZoneNames;
-use crate::settings::Names;
+use crate::settings::NetworkSettings;
 use crossbeam_channel::{bounded, unbounded};
 use site::Site;
 use std::io;
@@ -51,7 +51,7 @@
     /// The core.
     pub courier: Arc<Courier>,
     /// Names on the sockets.
-    pub names: Names,
+    pub names: NetworkSettings,
     /// Names in lists.
     pub places: KindAndZoneNames,
     /// Some kind of destination takes several messages in a call.
@@ -72,7 +72,7 @@
 
 /// Starts the front's threads, all but the listener's.
 pub fn start(
-    courier: &Arc<Courier>, bounds: Bounds, names: Names, slots: usize, discovery: AddressRotation,
+    courier: &Arc<Courier>, bounds: Bounds, names: NetworkSettings, slots: usize, discovery: AddressRotation,
     poll: Micros, admission: &Wishes,
 ) -> io::Result<(Arc<Platform>, Front)> {
     let keep = Duration::from_secs_f64(names.conn_idle.secs() * KEEP_SHARE);
--- a/src/register/config.rs
+++ b/src/register/config.rs
@@ -6,7 +6,7 @@
 use super::trust::TrustRules;
 use super::RegistryRules;
 use crate::api::Micros;
-use crate::checked::{self, Doc, Fault};
+use crate::checked::{self, Fault, ObjectReader};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -56,15 +56,15 @@
     checked::read(bytes, |doc| settings(doc, folder))
 }
 
-fn millis(doc: &Doc, name: &str, default: Micros, max_ms: f64) -> Micros {
+fn millis(doc: &ObjectReader, name: &str, default: Micros, max_ms: f64) -> Micros {
     Micros::from_secs(doc.number(name, default.0 as f64 / 1e3, 0.0..=max_ms) / 1e3)
 }
 
-fn seconds(doc: &Doc, name: &str, default: Micros, min_s: f64, max_s: f64) -> Micros {
+fn seconds(doc: &ObjectReader, name: &str, default: Micros, min_s: f64, max_s: f64) -> Micros {
     Micros::from_secs(doc.number(name, default.secs(), min_s..=max_s))
 }
 
-fn settings(doc: &Doc, folder: &Path) -> RegisterConfig {
+fn settings(doc: &ObjectReader, folder: &Path) -> RegisterConfig {
     let defaults = RegisterConfig::default();
     let extra_addrs = doc.texts("also", MAX_EXTRA_ADDRS, |text| {
         text.parse().map_err(|_| format!("{text:?} is no address with a port"))
@@ -96,7 +96,7 @@
     }
 }
 
-fn kept_copy_rules(kept: &Doc) -> KeptCopyRules {
+fn kept_copy_rules(kept: &ObjectReader) -> KeptCopyRules {
     let defaults = KeptCopyRules::default();
     KeptCopyRules {
         enabled: kept.flag("enabled", defaults.enabled),
@@ -107,7 +107,7 @@
     }
 }
 
-fn trust_rules(trust: &Doc) -> TrustRules {
+fn trust_rules(trust: &ObjectReader) -> TrustRules {
     let defaults = TrustRules::default();
     let rules = TrustRules {
         initial_calls: trust.whole("start", u64::from(defaults.initial_calls), 1..=1024) as u32,
@@ -122,7 +122,7 @@
 }
 
 /// Parses the guard's settings; `None` if it is disabled.
-fn removal_guard(guard: &Doc) -> Option<RemovalGuard> {
+fn removal_guard(guard: &ObjectReader) -> Option<RemovalGuard> {
     let defaults = RemovalGuard::default();
     let enabled = guard.flag("enabled", true);
     let rules = RemovalGuard {
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings document, of the simulator's `Spawn` and of the courier's configuration alike, as the module's
-//! settings. Unknown keys are passed over, absent ones stay absent.
+//! Parses the settings document into the decision engine's [`Settings`]. The simulator's `Spawn` record and the courier's
+//! configuration use the same document. Unknown keys are ignored, and absent optional keys stay unset.
 
 use crate::api::{
     Class, DedupGroup, DiscoveryMode, Effect, Kind, Limits, Micros, Rules, Settings, Tenant, Weights,
@@ -8,7 +8,7 @@
 use crate::register::list::KindAndZoneNames;
 use serde::Deserialize;
 
-/// The document as written, names included.
+/// The parsed settings document, names included.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Document {
@@ -69,9 +69,11 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Fades {
-    Even,
-    ByHalf,
+enum WorthDecayConf {
+    #[serde(rename = "even")]
+    Linear,
+    #[serde(rename = "by_half")]
+    Halving,
 }
 
 #[derive(Deserialize)]
@@ -102,7 +104,8 @@
 struct FamilyInfo {
     bundle_max: Vec<u32>,
     kind_apart: Vec<bool>,
-    fades: Option<Fades>,
+    #[serde(rename = "fades")]
+    worth_decay: Option<WorthDecayConf>,
     slots: Option<u32>,
 }
 
@@ -137,89 +140,90 @@
     names: Vec<String>,
 }
 
-/// What the sockets need of the settings and the decisions do not: names, and the life of connections.
-pub struct Names {
-    /// Names of the classes, in the order of [`Settings::classes`].
+/// The settings that the network code needs and the decision engine doesn't: names, and limits of connections.
+pub struct NetworkSettings {
+    /// The names of the classes, in the order of [`Settings::classes`].
     pub classes: Vec<String>,
-    /// Names of the tenants, in the order of [`Settings::tenants`].
+    /// The names of the tenants, in the order of [`Settings::tenants`].
     pub tenants: Vec<String>,
-    /// Names of the kinds of destination.
+    /// The names of the kinds of destination.
     pub kinds: Vec<String>,
-    /// Names of the zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Names of the values of a load report.
+    /// The names of the values in a load report.
     pub load: Vec<String>,
-    /// An endpoint closes a connection that was idle for so long, at the latest.
+    /// The idle time after which an endpoint closes a connection at the latest.
     pub conn_idle: Micros,
-    /// A connection that is not up by then is not going to be.
+    /// The time limit for establishing a connection.
     pub connect: Micros,
-    /// Some kind of destination takes several messages in a call.
+    /// Whether any kind of destination accepts several messages in one call.
     pub batches: bool,
-    /// Couriers of this service, this one counted: they ask the same discovery.
+    /// The number of couriers of this service, this one included. All of them use the same discovery service.
     pub couriers: u32,
-    /// Lists are pushed: discovery is an agent on this machine that answers at once and at no cost.
+    /// Whether discovery pushes the lists. In that mode it is an agent on this machine that answers immediately and at no
+    /// cost.
     pub pushed: bool,
-    /// Endpoints may be probed.
+    /// Whether endpoints may be probed.
     pub probing: bool,
 }
 
-impl Names {
-    /// The names that lists of backends use.
+impl NetworkSettings {
+    /// The names of kinds and zones, for reading lists of backends.
     pub fn places(&self) -> KindAndZoneNames {
         KindAndZoneNames { kinds: self.kinds.clone(), zones: self.zones.clone() }
     }
 }
 
-/// Reads a settings document.
+/// Parses a settings document into the decision engine's settings.
 pub fn settings(text: &[u8]) -> Result<Settings, String> {
     let document: Document = serde_json::from_slice(text).map_err(|e| format!("settings: {e}"))?;
     document.split().map(|(settings, _)| settings)
 }
 
 impl Document {
-    /// The place of this courier among those of its tier, where it is told.
+    /// The position of this courier among all couriers of the service, if the document has it.
     pub fn me(&self) -> Option<usize> {
         self.me.map(usize::from)
     }
 
-    /// The module's settings, and the names that only the sockets use.
-    pub fn split(self) -> Result<(Settings, Names), String> {
-        let names = Names {
+    /// Splits the document into the decision engine's settings and those of the network code.
+    pub fn split(self) -> Result<(Settings, NetworkSettings), String> {
+        let network = NetworkSettings {
             classes: self.profiles.iter().map(|p| p.name.clone()).collect(),
             tenants: self.tenants.iter().map(|t| t.name.clone()).collect(),
             kinds: self.kinds.clone(),
             zones: self.failure_domains.clone(),
             load: self.load_report.names.clone(),
             conn_idle: Micros(self.limits.conn_idle.unwrap_or(5_000_000)),
-            batches: self.family_info.bundle_max.iter().any(|most| *most > 1),
+            batches: self.family_info.bundle_max.iter().any(|size| *size > 1),
             connect: Micros(self.limits.connect_timeout.unwrap_or(1_500_000)),
             couriers: self.balancers,
             pushed: matches!(self.discovery, Discovery::Automatic),
             probing: self.limits.probing,
         };
-        Ok((self.settings()?, names))
+        Ok((self.settings()?, network))
     }
 
     fn settings(self) -> Result<Settings, String> {
         let conf = self;
-        let count =
+        let kind_count =
             conf.kinds.len().max(conf.family_info.bundle_max.len()).max(conf.family_info.kind_apart.len());
         let kind = |i| Kind {
             separate_routes: conf.family_info.kind_apart.get(i).copied().unwrap_or(false),
             max_batch_size: conf.family_info.bundle_max.get(i).copied().unwrap_or(1),
         };
-        let place = |name: &str| conf.load_report.names.iter().position(|n| n == name);
+        let report_position = |name: &str| conf.load_report.names.iter().position(|n| n == name);
         Ok(Settings {
             senders: conf.balancers,
-            kinds: (0..count).map(kind).collect(),
-            report_left: place("x0"),
-            report_limit: place("x1"),
+            kinds: (0..kind_count).map(kind).collect(),
+            report_left: report_position("x0"),
+            report_limit: report_position("x1"),
             classes: conf.profiles.into_iter().map(class).collect::<Result<_, _>>()?,
             tenants: conf.tenants.into_iter().map(|t| Tenant { quota_per_s: t.quota_per_s }).collect(),
             over_share_worth: conf.over_share_worth,
-            worth_decay: match conf.family_info.fades {
-                Some(Fades::ByHalf) => WorthDecay::Halving,
-                Some(Fades::Even) | None => WorthDecay::Linear,
+            worth_decay: match conf.family_info.worth_decay {
+                Some(WorthDecayConf::Halving) => WorthDecay::Halving,
+                Some(WorthDecayConf::Linear) | None => WorthDecay::Linear,
             },
             discovery: match conf.discovery {
                 Discovery::Automatic => DiscoveryMode::Push,
