--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -98,7 +98,7 @@
     let in_state = |e: &dyn std::fmt::Display| format!("NODE_STATE: {}: {e}", state.display());
     let for_hand = if door_at.is_some() { hand::ROOM } else { 0 };
     let for_history = history.as_ref().map_or(0, |h| h.disk);
-    let others = zones + for_copy + for_drains + for_hand + owner::ROOM + memory::ROOM + anchor::ROOM;
+    let others = zones + for_copy + for_drains + for_hand + owner::ROOM + memory::ROOM + anchor::DISK_BYTES;
     let room = disk.saturating_sub(others + for_history);
     if for_history > 0 && room < JOURNAL_LEAST {
         return Err(format!(
@@ -301,7 +301,7 @@
         };
         upgrade::serve(&state, this);
     }
-    anchor.tell();
+    anchor.log_start();
     tracing::info!(target: "daemon", register = phase, incarnation, "ready; {owed} messages are owed, {backends} backends known");
     let mut stopping: Option<Instant> = None;
     let mut left_at: Option<Instant> = None;
@@ -361,7 +361,7 @@
             // After an error the next round does it.
             let _ = anchor.write();
             if let Some(keeper) = &mut keeper {
-                let others = zones + for_drains + for_hand + memory::ROOM + anchor::ROOM + for_history;
+                let others = zones + for_drains + for_hand + memory::ROOM + anchor::DISK_BYTES + for_history;
                 keep_list(&courier, keeper, disk.saturating_sub(others));
             }
             if let Some(word) =
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,9 +1,9 @@
-//! Time across lives: the wall clock is stepped between two of them, by seconds and by an hour, forward and back, and deadlines and
-//! windows stay spans of real time. Leases, waits, drains and slow starts count by the same clock.
+//! The courier's clock across process runs: the wall clock is stepped between two runs, by seconds and by an hour, forward and
+//! back, and deadlines and deduplication windows keep their durations. Leases, waits, drains and slow starts use the same clock.
 
 mod support;
 
-use indigohold::clock::anchor::{resume, Anchor, Reading};
+use indigohold::clock::anchor::{resume, Anchor, ClockReading};
 use indigohold::store::{Journal, Req};
 use indigohold::Micros;
 use std::path::Path;
@@ -11,16 +11,17 @@
 use support::crowd::*;
 use support::*;
 
+/// One second, in microseconds.
 const S: u64 = 1_000_000;
 /// Steps of the wall clock, in seconds.
-const STEPS: [i64; 4] = [-3_600, -5, 5, 3_600];
+const STEPS_S: [i64; 4] = [-3_600, -5, 5, 3_600];
 
-fn moved(at: Micros, seconds: i64) -> Micros {
+fn shifted(at: Micros, seconds: i64) -> Micros {
     Micros(at.0.checked_add_signed(seconds * S as i64).unwrap())
 }
 
-fn reading(boot: &str, monotonic_s: u64, wall_s: u64) -> Reading {
-    Reading { boot: boot.into(), monotonic: Micros(monotonic_s * S), wall: Micros(wall_s * S) }
+fn reading(boot: &str, monotonic_s: u64, wall_s: u64) -> ClockReading {
+    ClockReading { boot: boot.into(), monotonic: Micros(monotonic_s * S), wall: Micros(wall_s * S) }
 }
 
 fn anchor(boot: &str, monotonic_s: u64, time_s: u64) -> Anchor {
@@ -28,41 +29,65 @@
 }
 
 #[test]
-fn a_step_of_the_wall_clock_between_two_lives_moves_nothing() {
+fn wall_clock_step_between_process_runs_has_no_effect() {
     let first = anchor("b", 100, 50_000);
-    for step in STEPS {
-        for away in [0, 1, 30, 90_000] {
-            let mut now = reading("b", 100 + away, 50_000 + away);
-            now.wall = moved(now.wall, step);
-            assert_eq!(resume(Some(&first), &now), (Micros((50_000 + away) * S), true), "{step} {away}");
-            // The same where the boot is not known, for steps as long as they are.
+    for step in STEPS_S {
+        for downtime_s in [0, 1, 30, 90_000] {
+            let mut now = reading("b", 100 + downtime_s, 50_000 + downtime_s);
+            now.wall = shifted(now.wall, step);
+            assert_eq!(
+                resume(Some(&first), &now),
+                (Micros((50_000 + downtime_s) * S), true),
+                "{step} {downtime_s}"
+            );
+            // Steps of this size also have no effect if the boot id is unknown.
             now.boot = String::new();
-            assert_eq!(resume(Some(&first), &now), (Micros((50_000 + away) * S), true), "{step} {away}");
+            assert_eq!(
+                resume(Some(&first), &now),
+                (Micros((50_000 + downtime_s) * S), true),
+                "{step} {downtime_s}"
+            );
         }
     }
 }
 
 #[test]
-fn on_another_boot_the_wall_clock_holds_but_never_goes_back() {
+fn after_reboot_wall_clock_applies_but_time_never_goes_back() {
     let first = anchor("b", 100, 50_000);
     assert_eq!(resume(Some(&first), &reading("c", 4_000, 60_000)), (Micros(60_000 * S), false));
-    assert_eq!(resume(Some(&first), &reading("b", 99, 60_000)), (Micros(60_000 * S), false), "it began anew");
-    assert_eq!(resume(Some(&first), &reading("c", 4_000, 49_000)), (Micros(50_000 * S), false), "put back");
-    let days = reading("", 200, 50_000 + 3 * 86_400);
-    assert_eq!(resume(Some(&first), &days), (days.wall, false), "an unknown boot, far away");
+    assert_eq!(
+        resume(Some(&first), &reading("b", 99, 60_000)),
+        (Micros(60_000 * S), false),
+        "the monotonic clock restarted"
+    );
+    assert_eq!(
+        resume(Some(&first), &reading("c", 4_000, 49_000)),
+        (Micros(50_000 * S), false),
+        "the wall clock was set back"
+    );
+    let days_later = reading("", 200, 50_000 + 3 * 86_400);
+    assert_eq!(
+        resume(Some(&first), &days_later),
+        (days_later.wall, false),
+        "unknown boot id, large deviation"
+    );
     assert_eq!(resume(None, &reading("b", 7, 60_000)), (Micros(60_000 * S), false));
 }
 
 #[test]
-fn an_anchor_is_kept_and_a_damaged_one_passed_over() {
+fn anchor_is_kept_and_damaged_anchor_is_ignored() {
     let folder = Folder::new();
     let dir = &folder.0.join("state");
     let (first, mut pending) = indigohold::clock::anchor::start(dir);
     pending.write().unwrap();
     let written = std::fs::read(dir.join("clock")).unwrap();
-    let (second, mut nothing) = indigohold::clock::anchor::start(dir);
-    nothing.write().unwrap();
-    assert_eq!(std::fs::read(dir.join("clock")).unwrap(), written, "one anchor serves all lives of a boot");
+    let (second, mut already_written) = indigohold::clock::anchor::start(dir);
+    already_written.write().unwrap();
+    assert_eq!(
+        std::fs::read(dir.join("clock")).unwrap(),
+        written,
+        "all process runs of a boot use one anchor"
+    );
     let (a, b) = (first.now(), second.now());
     assert!(b >= a && b - a < Micros(S), "{a:?} {b:?}");
     for cut in 0..written.len() {
@@ -74,11 +99,11 @@
     }
 }
 
-/// A folder as a former life left it that began when the wall clock said `step` seconds more, or less, than now. The anchor says
-/// what the courier's clock says now.
-fn left_behind(dir: &Path, step: i64) -> Micros {
-    let now = Reading::take();
-    let time = moved(now.wall, step);
+/// Writes the anchor of an earlier process run that started while the wall clock was off by `step` seconds. Returns the current
+/// time of the courier's clock by this anchor.
+fn write_earlier_anchor(dir: &Path, step: i64) -> Micros {
+    let now = ClockReading::now();
+    let time = shifted(now.wall, step);
     Anchor { boot: now.boot, monotonic: now.monotonic, time }.write(dir).unwrap();
     time
 }
@@ -97,22 +122,23 @@
     })
 }
 
-/// Guards against a life that takes a step of the wall clock for time that has passed, or has not.
+/// Guards against a process that counts a step of the wall clock as elapsed time: deadlines and deduplication windows from the
+/// earlier run would end too early or too late.
 #[test]
-fn deadlines_and_windows_of_a_former_life_hold_after_a_step() {
-    for step in STEPS {
+fn stored_deadlines_and_windows_survive_a_wall_clock_step() {
+    for step in STEPS_S {
         let site = site(256, 64);
         let dir = site.folder.0.join("state");
-        let now = left_behind(&dir, step);
+        let now = write_earlier_anchor(&dir, step);
         let mut journal = Journal::open(&dir, 3_000_000, now).unwrap();
         let window = Micros(8 * S);
-        let taken = [
+        let accepted = [
             (1, req("has-time", now + Micros(15 * S))),
             (2, req("out-of-time", now - Micros(S / 100))),
             (3, req("in-window", now + Micros(15 * S))),
             (4, req("past-window", now + Micros(15 * S))),
         ];
-        assert_eq!(journal.take(&taken).unwrap(), 4);
+        assert_eq!(journal.take(&accepted).unwrap(), 4);
         journal.begin(3, now - Micros(S / 2), "s-0").unwrap();
         journal.begin(4, now - window - Micros(S), "s-0").unwrap();
         drop(journal);
