--- a/tests/codec.rs
+++ b/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The adapter on bytes: what it reads, what it answers, how it ends on malformed input.
+//! The simulator adapter on its wire format: decoding of batches, encoding of replies, and the exit on malformed input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,9 +14,9 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // It may end before it has read all: a broken pipe is part of the test.
+    // The adapter may exit before it has read all input, so a broken pipe is expected here.
     let _ = child.stdin.take().expect("piped").write_all(input);
-    child.wait_with_output().expect("it ends")
+    child.wait_with_output().expect("the adapter ends")
 }
 
 fn record(code: u8, fields: &[&[u8]]) -> Vec<u8> {
@@ -49,8 +49,8 @@
     record(7, &[&id.to_be_bytes(), &1u32.to_be_bytes(), &entry.concat()])
 }
 
-fn discovery(instance: u16, table: u32, how: u8) -> Vec<u8> {
-    record(5, &[&instance.to_be_bytes(), &1u32.to_be_bytes(), &table.to_be_bytes(), &[how]])
+fn discovery(instance: u16, table: u32, kind: u8) -> Vec<u8> {
+    record(5, &[&instance.to_be_bytes(), &1u32.to_be_bytes(), &table.to_be_bytes(), &[kind]])
 }
 
 fn demand(instance: u16, id: u64, destination: f32) -> Vec<u8> {
@@ -59,7 +59,7 @@
     record(11, &[&head.concat(), &due, &destination.to_be_bytes()])
 }
 
-/// The codes and fields of each reply.
+/// Splits the output into replies, and each reply into records of a code and its fields.
 fn replies(mut bytes: &[u8]) -> Vec<Vec<(u8, Vec<u8>)>> {
     let mut out = vec![];
     while !bytes.is_empty() {
@@ -79,16 +79,17 @@
     out
 }
 
-fn fails(input: &[u8], says: &str) {
+/// Checks that the adapter fails on `input` with one line on standard error that contains `message`.
+fn fails(input: &[u8], message: &str) {
     let out = run(input);
     let text = String::from_utf8_lossy(&out.stderr);
-    assert!(!out.status.success(), "{says}");
-    assert_eq!(text.lines().count(), 1, "one line: {text}");
-    assert!(text.contains(says) && !text.contains("panicked"), "{says} in: {text}");
+    assert!(!out.status.success(), "{message}");
+    assert_eq!(text.lines().count(), 1, "expected one line: {text}");
+    assert!(text.contains(message) && !text.contains("panicked"), "{message} in: {text}");
 }
 
 #[test]
-fn empty_batches_get_empty_replies_and_end_of_input_ends_well() {
+fn empty_batches_get_empty_replies_and_end_of_input_exits_cleanly() {
     let out = run(&[batch(1, &[]), batch(2, &[])].concat());
     assert!(out.status.success());
     assert_eq!(out.stdout, [0; 16]);
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn a_message_is_tried_at_the_listed_endpoint() {
+fn message_is_sent_to_the_listed_endpoint() {
     let records = [spawn(3, CONF), table(0, 9, 57), discovery(3, 0, 2), demand(3, 77, 57.0)];
     let out = run(&batch(0, &records));
     let reply = replies(&out.stdout).remove(0);
@@ -107,7 +108,7 @@
 }
 
 #[test]
-fn table_numbers_are_reused_in_event_order() {
+fn reused_table_numbers_apply_in_event_order() {
     let records = [
         spawn(3, CONF),
         table(0, 1, 5),
@@ -123,14 +124,14 @@
 }
 
 #[test]
-fn a_halted_instance_starts_anew_in_the_same_batch() {
+fn halted_instance_restarts_without_state_in_the_same_batch() {
     let halt = record(2, &[&3u16.to_be_bytes()]);
     let first = [spawn(3, CONF), table(0, 9, 57), discovery(3, 0, 2)];
     let again = [halt.clone(), spawn(3, CONF), demand(3, 1, 57.0)];
     let out = run(&[batch(0, &first), batch(5000, &again), batch(9000, &[halt])].concat());
     assert!(out.status.success());
     let all = replies(&out.stdout);
-    assert!(all[1].iter().all(|r| r.0 != 1), "it knows no endpoint any more");
+    assert!(all[1].iter().all(|r| r.0 != 1), "the restarted instance knows no endpoints");
     assert!(all[2].is_empty());
 }
 
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn malformed_input_ends_with_one_clear_line() {
+fn malformed_input_fails_with_a_one_line_error() {
     let good = batch(0, &[spawn(3, CONF)]);
     fails(&good[..2], "inside a length");
     fails(&good[..good.len() - 1], "inside a batch");
