--- a/examples/ask.sh
+++ b/examples/ask.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Three couriers on this machine, a toy platform beside them, one message at the second. Asks the first one for the whole fleet, then
-# kills the third and asks again. Builds what is not built yet; everything ends with it.
+# Starts three couriers and a toy platform on this machine and submits one message to the second courier. Queries the whole
+# fleet through the first courier, then kills the third and queries again. Builds missing binaries. Stops all processes and
+# deletes the work folder on exit.
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 indigohold=${INDIGOHOLD:-$here/target/release/indigohold}
@@ -25,10 +26,10 @@
     last=$!
 done
 for n in 0 1 2; do
-    tries=0
+    attempts=0
     until "$indigohold" --control "127.0.0.1:$((9901 + n))" ready >/dev/null 2>&1; do
-        tries=$((tries + 1))
-        [ $tries -lt 100 ] || { echo "n$n does not get ready:" >&2; cat "$work/n$n.log" >&2; exit 1; }
+        attempts=$((attempts + 1))
+        [ $attempts -lt 100 ] || { echo "n$n did not become ready:" >&2; cat "$work/n$n.log" >&2; exit 1; }
         sleep 0.1
     done
 done
@@ -37,7 +38,7 @@
 sleep 0.3
 for question in "where m1" "held"; do
     echo "\$ indigohold ask $question"
-    # shellcheck disable=SC2086 # two words
+    # shellcheck disable=SC2086 # the question must split into words
     "$indigohold" --control 127.0.0.1:9901 ask $question
 done
 echo "the third courier is killed"
--- a/examples/replay.sh
+++ b/examples/replay.sh
@@ -1,7 +1,7 @@
 #!/bin/sh
-# Three couriers on this machine that keep history and share notes, a toy platform beside them, two messages at each. One order to send
-# them again is planned and given at the first; the third is killed meanwhile, is named as missing, and does its part when it is back.
-# Builds what is not built yet; everything ends with it.
+# Starts three couriers with history and gossip and a toy platform on this machine, and submits two messages to each courier. Plans
+# a replay of all messages and orders it at the first courier. The third courier is killed before the order, is reported as missing,
+# and replays its messages after its restart. Builds missing binaries. Stops all processes and deletes the work folder on exit.
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 indigohold=${INDIGOHOLD:-$here/target/release/indigohold}
@@ -35,14 +35,14 @@
     start $n
 done
 for n in 0 1 2; do
-    tries=0
+    attempts=0
     until "$indigohold" --control "127.0.0.1:$((9901 + n))" ready >/dev/null 2>&1; do
-        tries=$((tries + 1))
-        [ $tries -lt 100 ] || { echo "n$n does not get ready:" >&2; cat "$work/n$n.log" >&2; exit 1; }
+        attempts=$((attempts + 1))
+        [ $attempts -lt 100 ] || { echo "n$n did not become ready:" >&2; cat "$work/n$n.log" >&2; exit 1; }
         sleep 0.1
     done
-    for m in a b; do
-        curl -s -o /dev/null -H "Req-Id: $m$n" -H 'Req-Kind: render-status' -H 'Req-Owner: tallowood' \
+    for message in a b; do
+        curl -s -o /dev/null -H "Req-Id: $message$n" -H 'Req-Kind: render-status' -H 'Req-Owner: tallowood' \
             -H 'Req-Deadline-Ms: 5000' -H 'X-Addressing: dest=7' -d 'one set of trumpet parts' "http://127.0.0.1:$((8081 + n))/api"
     done
 done
@@ -57,7 +57,7 @@
 sleep 3
 echo "\$ indigohold replay status    (at the second)"
 "$indigohold" replay status --socket "$work/n1.sock"
-echo "exit code $?: somebody's part is missing; the third courier is started again"
+echo "exit code $?: the replay of one courier is missing; the third courier is started again"
 start 2
 sleep 8
 "$indigohold" replay status --socket "$work/n1.sock"
--- a/examples/rolling-drain.sh
+++ b/examples/rolling-drain.sh
@@ -1,17 +1,17 @@
 #!/bin/sh
-# Drains instances one batch after another: rolling-drain.sh BATCH DEADLINE SOCKET...
-# Stops at the first batch in which messages were given up; what it does between drain and close is yours to fill in.
+# Drains instances in batches: rolling-drain.sh BATCH DEADLINE SOCKET...
+# Stops at the first batch in which messages were given up. Add your own step between drain and close.
 set -u
 batch=$1 deadline=$2
 shift 2
 indigohold=${INDIGOHOLD:-target/release/indigohold}
 while [ $# -gt 0 ]; do
     sockets=""
-    n=0
-    while [ $# -gt 0 ] && [ $n -lt "$batch" ]; do
+    count=0
+    while [ $# -gt 0 ] && [ $count -lt "$batch" ]; do
         "$indigohold" drain start --socket "$1" --by "$deadline" --reason "rolling drain" || exit 1
         sockets="$sockets $1"
-        n=$((n + 1))
+        count=$((count + 1))
         shift
     done
     for socket in $sockets; do
@@ -23,7 +23,7 @@
             exit 1
             ;;
         esac
-        # Here the instance is empty: move or replace it. A new one on the same state folder is still draining.
+        # The instance is empty here: move or replace it. A new instance with the same state folder continues the drain.
         "$indigohold" drain close --socket "$socket" || exit 1
     done
 done
--- a/examples/toy_server.rs
+++ b/examples/toy_server.rs
@@ -1,5 +1,5 @@
-//! A toy platform for trying the courier by hand: discovery with one endpoint on its list, and that endpoint.
-//! It prints what it gets. Every third call is turned away with a wait, so that a repeat can be seen.
+//! A toy platform for trying the courier by hand: a discovery service that lists one endpoint, and that endpoint. It
+//! prints what it receives. Every third call is refused with a wait, to show a retry.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -20,7 +20,7 @@
 
 fn serve(listener: &TcpListener, answer: fn(&str, &str, &mut TcpStream) -> std::io::Result<()>) {
     for stream in listener.incoming().flatten() {
-        // An error says that the courier has closed the connection.
+        // An error means that the courier has closed the connection.
         thread::spawn(move || drop(session(stream, answer)));
     }
 }
@@ -31,8 +31,8 @@
     let mut writer = stream.try_clone()?;
     let mut reader = BufReader::new(stream);
     loop {
-        let (mut first, mut length) = (String::new(), 0);
-        if reader.read_line(&mut first)? == 0 {
+        let (mut request_line, mut content_length) = (String::new(), 0);
+        if reader.read_line(&mut request_line)? == 0 {
             return Ok(());
         }
         loop {
@@ -43,17 +43,17 @@
                 break;
             }
             if let Some(value) = line.strip_prefix("content-length:") {
-                length = value.trim().parse().unwrap_or(0);
+                content_length = value.trim().parse().unwrap_or(0);
             }
         }
-        let mut body = vec![0; length];
+        let mut body = vec![0; content_length];
         reader.read_exact(&mut body)?;
-        answer(first.trim(), &String::from_utf8_lossy(&body), &mut writer)?;
+        answer(request_line.trim(), &String::from_utf8_lossy(&body), &mut writer)?;
     }
 }
 
-fn discover(first: &str, body: &str, out: &mut TcpStream) -> std::io::Result<()> {
-    if first.starts_with("POST /v1/notices") {
+fn discover(request_line: &str, body: &str, out: &mut TcpStream) -> std::io::Result<()> {
+    if request_line.starts_with("POST /v1/notices") {
         println!("notice: {}", body.trim());
         return out.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
     }
@@ -69,10 +69,10 @@
     }
 }
 
-fn call(first: &str, body: &str, out: &mut TcpStream) -> std::io::Result<()> {
+fn call(request_line: &str, body: &str, out: &mut TcpStream) -> std::io::Result<()> {
     static CALLS: AtomicUsize = AtomicUsize::new(1);
     let turned_away = CALLS.fetch_add(1, Ordering::Relaxed).is_multiple_of(3);
-    println!("{first} {body:?} {}", if turned_away { "turned away" } else { "taken" });
+    println!("{request_line} {body:?} {}", if turned_away { "turned away" } else { "taken" });
     let answer = match turned_away {
         true => "HTTP/1.1 429 Too Many Requests\r\nX-RateLimit-Wait-Ms: 400\r\nContent-Length: 0\r\n\r\n",
         false => "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
