--- a/tests/discovery_clock.rs
+++ b/tests/discovery_clock.rs
@@ -1,4 +1,4 @@
-//! When the program asks discovery anew: from the start where lists are pushed, and after every way of falling silent.
+//! When the program asks discovery again: from the start where lists are pushed, and after every kind of silence.
 
 mod support;
 
@@ -11,29 +11,31 @@
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const PUSHED: &str = "automatic";
-const ASKED: &str = "subscribe";
+const SUBSCRIBED: &str = "subscribe";
 
-fn start(discovery: SocketAddr, folder: &Folder, manner: &str) -> (Program, SocketAddr) {
-    start_of(discovery, folder, manner, 1)
+fn start(discovery: SocketAddr, folder: &Folder, discovery_mode: &str) -> (Program, SocketAddr) {
+    start_in_fleet(discovery, folder, discovery_mode, 1)
 }
 
-/// One of so many couriers that ask the same discovery.
-fn start_of(discovery: SocketAddr, folder: &Folder, manner: &str, couriers: u32) -> (Program, SocketAddr) {
+/// Starts one of `couriers` couriers that ask the same discovery.
+fn start_in_fleet(
+    discovery: SocketAddr, folder: &Folder, discovery_mode: &str, couriers: u32,
+) -> (Program, SocketAddr) {
     let mut config = serde_json::json!({
         "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "0b",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256, "disk_mb": 3},
         "known": {"generation": 0, "reset": true, "instances": []},
         "settings": settings(20_000)
     });
-    config["settings"]["discovery"] = manner.into();
+    config["settings"]["discovery"] = discovery_mode.into();
     config["settings"]["balancers"] = couriers.into();
     let mut program = Program::start(&folder.0, &config, None);
     let addr = program.addr("platform");
     (program, addr)
 }
 
-/// Clients come once the destination is known.
-fn known(addr: SocketAddr, id: &str, dest: u16) {
+/// Waits until the destination is known, by sending messages until one is accepted.
+fn wait_until_known(addr: SocketAddr, id: &str, dest: u16) {
     let call = format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nReq-Id: {id}\r\nReq-Kind: print-order\r\nReq-Owner: tallowood\r\n\
          Req-Deadline-Ms: 20000\r\nIdempotency-Key: k-{id}\r\nX-Addressing: dest={dest}\r\nContent-Length: 1\r\n\r\nx"
@@ -41,72 +43,74 @@
     until(id, || ask(addr, call.as_bytes()).status() == 202);
 }
 
-/// The need: without it the program never asked at all, and lived on the configuration's list for good.
+/// Guards against a program that never asks where lists are pushed, and uses the configuration's list for ever.
 #[test]
-fn a_pushed_list_is_watched_from_the_start_and_again() {
+fn a_pushed_list_is_watched_from_the_start_and_after_an_outage() {
     let (endpoint, folder) = (endpoint(|_, _| Act::Answer(OK)), Folder::new());
     let scripted = Scripted::serving(list(5, &[up("s-1", endpoint.addr, 3)]));
     let (mut program, addr) = start(scripted.addr, &folder, PUSHED);
     program.line_with("the register is live");
-    known(addr, "m1", 3);
-    // Its machine goes and comes back.
+    wait_until_known(addr, "m1", 3);
+    // Discovery's machine goes down and comes back.
     scripted.stop();
     scripted.set(list(6, &[up("s-2", endpoint.addr, 4)]));
     scripted.start();
-    known(addr, "m2", 4);
+    wait_until_known(addr, "m2", 4);
     assert!(scripted.asks().last().unwrap().line.contains("after=5"), "{:?}", scripted.asks());
     assert!(scripted.asks().len() < 5, "{:?}", scripted.asks());
 }
 
-/// Silent, or with half a line for ever: asked anew once, two beats after the last whole word, with time left before what was
-/// missed counts as told (6 s after).
+/// A watch that is silent, or that keeps sending an incomplete line, is reopened once, two heartbeats after the last
+/// complete line. That leaves time before the missed changes count as notified, 6 s after it.
 #[test]
-fn a_watch_that_falls_silent_is_opened_anew_in_time_and_once() {
-    let cases = [(PUSHED, ""), (ASKED, ""), (PUSHED, "{"), (ASKED, "{")];
-    let each = cases.map(|(manner, trickle)| {
+fn a_silent_watch_is_reopened_once_and_in_time() {
+    let cases = [(PUSHED, ""), (SUBSCRIBED, ""), (PUSHED, "{"), (SUBSCRIBED, "{")];
+    let each = cases.map(|(discovery_mode, trickle)| {
         thread::spawn(move || {
             let (endpoint, folder) = (endpoint(|_, _| Act::Answer(OK)), Folder::new());
             let scripted = Scripted::serving(list(5, &[up("s-1", endpoint.addr, 3)]));
-            let (_program, addr) = start(scripted.addr, &folder, manner);
-            known(addr, "m1", 3);
+            let (_program, addr) = start(scripted.addr, &folder, discovery_mode);
+            wait_until_known(addr, "m1", 3);
             let asked = scripted.asks().len();
             scripted.hush(trickle);
             scripted.set(list(6, &[up("s-1", endpoint.addr, 3), up("s-2", endpoint.addr, 4)]));
-            known(addr, "m2", 4);
+            wait_until_known(addr, "m2", 4);
             let again = &scripted.asks()[asked..];
-            assert_eq!(again.len(), 1, "{manner} {trickle:?} {again:?}");
+            assert_eq!(again.len(), 1, "{discovery_mode} {trickle:?} {again:?}");
             let after = again[0].at - scripted.last_said().unwrap();
-            let (least, most) = (Duration::from_millis(3_500), Duration::from_millis(5_200));
-            assert!((least..most).contains(&after), "{manner} {trickle:?} {after:?}");
+            let (min, max) = (Duration::from_millis(3_500), Duration::from_millis(5_200));
+            assert!((min..max).contains(&after), "{discovery_mode} {trickle:?} {after:?}");
         })
     });
     each.into_iter().for_each(|case| case.join().unwrap());
 }
 
-/// An agent that takes calls and is silent, as while discovery is down: asked again and again, and not in a circle.
+/// An agent that accepts requests and does not answer, as while discovery is down, is asked repeatedly, but not in a
+/// tight loop.
 #[test]
 fn an_agent_that_never_answers_is_asked_again_soon() {
     let (endpoint, folder) = (endpoint(|_, _| Act::Answer(OK)), Folder::new());
     let scripted = Scripted::serving(list(5, &[up("s-1", endpoint.addr, 3)]));
     let (_program, addr) = start(scripted.addr, &folder, PUSHED);
-    known(addr, "m1", 3);
+    wait_until_known(addr, "m1", 3);
     let (asked, since) = (scripted.asks().len(), Instant::now());
     scripted.mode(Mode::Mute);
     until("asked again", || scripted.asks().len() >= asked + 5);
     let asks = &scripted.asks()[asked..];
-    // Danger, in a test: on a loaded machine one ask is seen late and the next is not. Each is waited for 400 ms all the same.
-    let most = since.elapsed().as_secs_f64() / 0.4 + 1.0;
-    assert!(asks.len() as f64 <= most, "{} asks, {most:.1} at most", asks.len());
-    let apart: Vec<Duration> = asks.windows(2).map(|w| w[1].at - w[0].at).collect();
-    assert!(apart.iter().min() < Some(&Duration::from_millis(1_500)), "{apart:?}");
+    // On a loaded machine one request may be recorded late and the next in time, which makes a single
+    // interval too short; but the program waits 400 ms for each answer, so their number is bounded.
+    let max_asks = since.elapsed().as_secs_f64() / 0.4 + 1.0;
+    assert!(asks.len() as f64 <= max_asks, "{} asks, {max_asks:.1} at most", asks.len());
+    let intervals: Vec<Duration> = asks.windows(2).map(|w| w[1].at - w[0].at).collect();
+    assert!(intervals.iter().min() < Some(&Duration::from_millis(1_500)), "{intervals:?}");
     scripted.set(list(6, &[up("s-2", endpoint.addr, 4)]));
     scripted.mode(Mode::Serve);
-    known(addr, "m2", 4);
+    wait_until_known(addr, "m2", 4);
 }
 
-/// Lists may come indented, in an answer and on a watch.
+/// A list may be indented, in an answer and on a watch.
 #[test]
-fn a_list_may_come_indented() {
+fn an_indented_list_is_read() {
     for mode in [Mode::Serve, Mode::NoWatch] {
         let (endpoint, folder) = (endpoint(|_, _| Act::Answer(OK)), Folder::new());
         folder.write("register.json", r#"{"poll_ms": 100}"#);
@@ -116,20 +120,24 @@
         };
         let scripted = Scripted::serving(indented(5, "s-1", 3));
         scripted.mode(mode);
-        let (_program, addr) = start(scripted.addr, &folder, ASKED);
-        known(addr, "m1", 3);
+        let (_program, addr) = start(scripted.addr, &folder, SUBSCRIBED);
+        wait_until_known(addr, "m1", 3);
         scripted.say(indented(6, "s-2", 4));
-        known(addr, "m2", 4);
+        wait_until_known(addr, "m2", 4);
     }
 }
 
-/// One poll or watch falls silent, on a line that is muted, while the agent is well and answers whoever asks anew: it is asked
-/// anew, also where lists are pushed, and what changed meanwhile is known in time.
+/// One poll or watch falls silent, on a connection that carries no answers, while the agent works and answers new
+/// requests. The agent is asked again, also where lists are pushed, and the changes are known in time.
 #[test]
-fn a_silent_poll_or_watch_beside_a_healthy_agent_is_asked_anew() {
-    let cases =
-        [(PUSHED, Mode::NoWatch), (ASKED, Mode::NoWatch), (PUSHED, Mode::Serve), (ASKED, Mode::Serve)];
-    let each = cases.map(|(manner, mode)| {
+fn a_silent_poll_or_watch_of_a_healthy_agent_is_retried() {
+    let cases = [
+        (PUSHED, Mode::NoWatch),
+        (SUBSCRIBED, Mode::NoWatch),
+        (PUSHED, Mode::Serve),
+        (SUBSCRIBED, Mode::Serve),
+    ];
+    let each = cases.map(|(discovery_mode, mode)| {
         thread::spawn(move || {
             let (endpoint, folder) = (endpoint(|_, _| Act::Answer(OK)), Folder::new());
             folder.write("register.json", r#"{"poll_ms": 100}"#);
@@ -137,44 +145,45 @@
             scripted.mode(mode.clone());
             let relay = Relay::start(1, Vec::new(), Limits::default()).unwrap();
             let through = relay.link(LinkName::new("c0", "agent"), scripted.addr).unwrap();
-            let (_program, addr) = start(through, &folder, manner);
-            known(addr, "m1", 3);
-            // Lines that are open now, and the one that is opened next; those after it are whole.
+            let (_program, addr) = start(through, &folder, discovery_mode);
+            wait_until_known(addr, "m1", 3);
+            // Mutes the open connections and the next one; those after it work.
             let last = relay.read().unwrap().counts.taken;
             let mute = Rule::new("silent", "c0>agent", What::Mute).unwrap().one_way(Way::Down).on(0, last);
             relay.add(mute).unwrap();
-            until("something is not heard", || relay.read().unwrap().counts.held > 0);
+            until("an answer is held back", || relay.read().unwrap().counts.held > 0);
             let at = Instant::now();
             scripted.say(list(6, &[up("s-1", endpoint.addr, 3), up("s-2", endpoint.addr, 4)]));
-            known(addr, "m2", 4);
-            // Two silences in a row at most, of a watch and of the call after it.
-            assert!(at.elapsed() < Duration::from_secs(15), "{manner} {mode:?} {:?}", at.elapsed());
+            wait_until_known(addr, "m2", 4);
+            // At most two silences in a row: of a watch and of the request after it.
+            assert!(at.elapsed() < Duration::from_secs(15), "{discovery_mode} {mode:?} {:?}", at.elapsed());
         })
     });
     each.into_iter().for_each(|case| case.join().unwrap());
 }
 
-/// When the protocol counts as told what a silence kept from the courier.
-const TOLD: Duration = Duration::from_secs(6);
+/// Time after which the protocol counts a change as notified that a silence kept from the courier.
+const NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
-/// The need: one of hundreds that ask the same discovery paused for 5 to 10 s after a silence, when what it had missed counted
-/// as told long since; a silent read came again by way of a watch that is not offered, a call and an answer later.
+/// Guards against two delays. A courier that was one of hundreds with the same discovery paused for 5 to 10 s after a
+/// silence, while the missed changes counted as notified already. And a read that fell silent was repeated only after an
+/// attempt to open a watch that is not offered, one request and one answer later.
 #[test]
-fn one_of_a_large_fleet_asks_again_after_a_silence_in_time() {
+fn a_courier_of_a_large_fleet_retries_in_time_after_a_silence() {
     let each = [Mode::Serve, Mode::NoWatch].map(|mode| {
         thread::spawn(move || {
             let (endpoint, folder) = (endpoint(|_, _| Act::Answer(OK)), Folder::new());
             folder.write("register.json", r#"{"poll_ms": 100}"#);
             let scripted = Scripted::serving(list(5, &[up("s-1", endpoint.addr, 3)]));
             scripted.mode(mode.clone());
-            let (_program, addr) = start_of(scripted.addr, &folder, ASKED, 300);
-            known(addr, "m1", 3);
+            let (_program, addr) = start_in_fleet(scripted.addr, &folder, SUBSCRIBED, 300);
+            wait_until_known(addr, "m1", 3);
             let asked = if mode == Mode::Serve {
                 let asked = scripted.asks().len();
                 scripted.hush("");
                 asked
             } else {
-                // The next read is heard and never answered; those after it are.
+                // The next read is received and never answered; those after it are answered.
                 scripted.miss(1);
                 until("a read is missed", || scripted.missed() == 1);
                 scripted.asks().len()
@@ -183,9 +192,9 @@
             let asks = scripted.asks();
             let silent = if mode == Mode::Serve { scripted.last_said().unwrap() } else { asks[asked - 1].at };
             let after = asks[asked].at - silent;
-            // What is due within 5 s gets another second here, and one more for a shared machine that is late itself.
+            // The retry is due within 5 s. The protocol leaves it another second, and `late` adds one for a slow machine.
             let late = Duration::from_secs(1);
-            assert!(after > Duration::from_secs(2) && after < TOLD + late, "{mode:?} {after:?}");
+            assert!(after > Duration::from_secs(2) && after < NOTIFIED_AFTER + late, "{mode:?} {after:?}");
             assert_eq!(asks[asked].line.contains("watch=1"), mode == Mode::Serve, "{:?}", asks[asked]);
         })
     });
--- a/tests/kept.rs
+++ b/tests/kept.rs
@@ -1,4 +1,4 @@
-//! The kept copy under damage: every prefix, every flipped bit, a stop at every step of its replacement, a full disk.
+//! The kept copy under damage: every prefix, every flipped bit, a kill at every step of its replacement, a full disk.
 
 use indigohold::register::kept_copy::{self, KeptCopyRules, KeptCopyWriter, KeptList, ListSnapshot};
 use indigohold::register::list::{DiscoveryList, Instance, KindAndZoneNames, ParsedList};
@@ -7,11 +7,11 @@
 use std::fs;
 use tempfile::tempdir;
 
-fn places() -> KindAndZoneNames {
+fn place_names() -> KindAndZoneNames {
     KindAndZoneNames { kinds: vec!["print-house".into(), "community".into()], zones: vec!["z".into()] }
 }
 
-fn line(n: u16) -> EndpointRecord {
+fn record(n: u16) -> EndpointRecord {
     EndpointRecord {
         name: format!("s-{n}"),
         addr: ([127, 0, 0, 1], 1000 + n).into(),
@@ -24,129 +24,131 @@
     }
 }
 
-fn copy(generation: u64) -> KeptList {
-    let instances = (0..3).map(|n| Instance::from_record(&line(n), &places())).collect();
+fn kept_list(generation: u64) -> KeptList {
+    let instances = (0..3).map(|n| Instance::from_record(&record(n), &place_names())).collect();
     KeptList { confirmed_ms: 1_700_000_000_123, list: DiscoveryList { generation, reset: true, instances } }
 }
 
 #[test]
-fn what_is_kept_is_what_was_told() {
-    let bytes = kept_copy::encode(&copy(5));
-    let back = kept_copy::decode(&bytes).unwrap();
-    assert_eq!(back, copy(5));
-    let lines: Vec<EndpointRecord> =
-        back.list.instances.iter().filter_map(|i| i.to_record(&places())).collect();
-    assert_eq!(lines, [line(0), line(1), line(2)]);
+fn a_copy_decodes_to_the_list_that_was_encoded() {
+    let bytes = kept_copy::encode(&kept_list(5));
+    let decoded = kept_copy::decode(&bytes).unwrap();
+    assert_eq!(decoded, kept_list(5));
+    let records: Vec<EndpointRecord> =
+        decoded.list.instances.iter().filter_map(|i| i.to_record(&place_names())).collect();
+    assert_eq!(records, [record(0), record(1), record(2)]);
 }
 
-/// Guards against a torn copy that is taken for a shorter list.
+/// Guards against a partly written copy that is taken for a shorter list.
 #[test]
-fn no_prefix_and_no_flipped_bit_is_believed() {
-    let bytes = kept_copy::encode(&copy(5));
+fn no_prefix_and_no_flipped_bit_is_accepted() {
+    let bytes = kept_copy::encode(&kept_list(5));
     for end in 0..bytes.len() {
         assert!(kept_copy::decode(&bytes[..end]).is_err(), "{end} of {} bytes", bytes.len());
     }
     for bit in 0..bytes.len() * 8 {
         let mut damaged = bytes.clone();
         damaged[bit / 8] ^= 1 << (bit % 8);
-        // A flipped case bit of the checksum's digits changes nothing; else it must not be believed.
+        // A flipped case bit of the checksum's hexadecimal digits changes nothing; all else must be rejected.
         match kept_copy::decode(&damaged) {
             Err(_) => {}
-            Ok(back) => assert_eq!(back, copy(5), "bit {bit}"),
+            Ok(decoded) => assert_eq!(decoded, kept_list(5), "bit {bit}"),
         }
     }
 }
 
 #[test]
-fn a_copy_of_another_format_is_said_and_passed_over() {
-    let home = tempdir().unwrap();
-    let dir = home.path().to_owned();
-    kept_copy::write(&dir, &kept_copy::encode(&copy(5))).unwrap();
-    let text = String::from_utf8(kept_copy::encode(&copy(6))).unwrap();
+fn a_copy_of_another_format_is_reported_and_skipped() {
+    let folder = tempdir().unwrap();
+    let dir = folder.path().to_owned();
+    kept_copy::write(&dir, &kept_copy::encode(&kept_list(5))).unwrap();
+    let text = String::from_utf8(kept_copy::encode(&kept_list(6))).unwrap();
     fs::rename(dir.join("register.copy"), dir.join("register.copy.old")).unwrap();
     fs::write(dir.join("register.copy"), text.replacen(" 1 ", " 2 ", 1)).unwrap();
-    let (found, said) = kept_copy::read(&dir);
-    assert_eq!(found.unwrap().list.generation, 5, "the one before");
-    assert!(said.len() == 1 && said[0].contains("of format 2"), "{said:?}");
+    let (found, log_lines) = kept_copy::read(&dir);
+    assert_eq!(found.unwrap().list.generation, 5, "the copy before");
+    assert!(log_lines.len() == 1 && log_lines[0].contains("of format 2"), "{log_lines:?}");
     fs::write(dir.join("register.copy.old"), "{}").unwrap();
-    let (found, said) = kept_copy::read(&dir);
-    assert_eq!((found, said.len()), (None, 2), "each in a line of its own");
+    let (found, log_lines) = kept_copy::read(&dir);
+    assert_eq!((found, log_lines.len()), (None, 2), "one log line for each file");
 }
 
-/// SIGKILL at any moment of a replacement: as files are, after each step and with each prefix written of the new one.
+/// SIGKILL at any moment of a replacement: the files as they are after each step, and with each prefix of the new copy
+/// written.
 #[test]
-fn a_stop_at_any_step_leaves_a_whole_copy() {
-    let (one, two) = (kept_copy::encode(&copy(1)), kept_copy::encode(&copy(2)));
-    let home = tempdir().unwrap();
-    let dir = home.path().to_owned();
+fn a_kill_at_any_step_leaves_a_complete_copy() {
+    let (first, second) = (kept_copy::encode(&kept_list(1)), kept_copy::encode(&kept_list(2)));
+    let folder = tempdir().unwrap();
+    let dir = folder.path().to_owned();
     let (new, current, old) =
         (dir.join("register.copy.new"), dir.join("register.copy"), dir.join("register.copy.old"));
-    kept_copy::write(&dir, &kept_copy::encode(&copy(0))).unwrap();
-    kept_copy::write(&dir, &one).unwrap();
+    kept_copy::write(&dir, &kept_copy::encode(&kept_list(0))).unwrap();
+    kept_copy::write(&dir, &first).unwrap();
     let generation = || kept_copy::read(&dir).0.map(|k| k.list.generation);
-    for end in 0..=two.len() {
-        fs::write(&new, &two[..end]).unwrap();
-        assert_eq!(generation(), Some(1), "{end} bytes of the new one are written");
+    for end in 0..=second.len() {
+        fs::write(&new, &second[..end]).unwrap();
+        assert_eq!(generation(), Some(1), "{end} bytes of the new copy are written");
     }
     fs::rename(&current, &old).unwrap();
     assert_eq!(generation(), Some(1), "between the renames");
     fs::rename(&new, &current).unwrap();
     assert_eq!(generation(), Some(2));
-    // And the next write goes on from each of these states.
+    // The next write succeeds in each of these states.
     for missing in [&current, &old] {
         let _ = fs::remove_file(missing);
-        kept_copy::write(&dir, &two).unwrap();
+        kept_copy::write(&dir, &second).unwrap();
         assert_eq!(generation(), Some(2));
     }
 }
 
-fn edition(number: u64, count: u16) -> ListSnapshot {
+fn snapshot(revision: u64, count: u16) -> ListSnapshot {
     ListSnapshot {
-        revision: number,
-        generation: number,
-        confirmed_at: Micros(number * 1_000_000),
-        records: (0..count).map(line).collect(),
+        revision,
+        generation: revision,
+        confirmed_at: Micros(revision * 1_000_000),
+        records: (0..count).map(record).collect(),
     }
 }
 
-/// Guards against a copy that takes the room of what is owed, and against a courier that dies of a full disk.
+/// Guards against a copy that takes the disk space of the pending messages, and against a courier that dies of a full
+/// disk.
 #[test]
-fn a_full_disk_costs_the_copy_alone() {
-    let home = tempdir().unwrap();
-    let dir = home.path().to_owned();
+fn a_full_disk_affects_only_the_copy() {
+    let folder = tempdir().unwrap();
+    let dir = folder.path().to_owned();
     let rules = KeptCopyRules { min_interval: Micros(0), ..KeptCopyRules::default() };
-    let mut keeper = KeptCopyWriter::new(&dir, rules, places());
-    let second = |n: u64| Micros(n * 1_000_000);
-    assert_eq!(keeper.write(second(1), &edition(1, 3), 1 << 20), None);
-    let said = keeper.write(second(2), &edition(2, 3), 1000).expect("a line for the log");
-    assert!(said.contains("not kept"), "{said}");
-    assert_eq!(keeper.write(second(5), &edition(3, 3), 1000), None, "said once");
-    // The disk itself refuses: the copy before stays.
+    let mut writer = KeptCopyWriter::new(&dir, rules, place_names());
+    let at = |n: u64| Micros(n * 1_000_000);
+    assert_eq!(writer.write(at(1), &snapshot(1, 3), 1 << 20), None);
+    let log_line = writer.write(at(2), &snapshot(2, 3), 1000).expect("a line for the log");
+    assert!(log_line.contains("not kept"), "{log_line}");
+    assert_eq!(writer.write(at(5), &snapshot(3, 3), 1000), None, "logged once");
+    // The write itself fails: the copy before stays.
     fs::create_dir(dir.join("register.copy.new")).unwrap();
-    let said = keeper.write(second(9), &edition(4, 3), 1 << 20).expect("a line for the log");
-    assert!(said.contains("could not be kept"), "{said}");
-    assert!(!keeper.due(second(9), 5, second(9)), "it is left alone for a while");
+    let log_line = writer.write(at(9), &snapshot(4, 3), 1 << 20).expect("a line for the log");
+    assert!(log_line.contains("could not be kept"), "{log_line}");
+    assert!(!writer.due(at(9), 5, at(9)), "no write for a while after a failure");
     assert_eq!(kept_copy::read(&dir).0.unwrap().list.generation, 1);
     fs::remove_dir(dir.join("register.copy.new")).unwrap();
-    assert!(keeper.due(second(90), 5, second(9)));
-    assert_eq!(keeper.write(second(90), &edition(5, 3), 1 << 20), None);
+    assert!(writer.due(at(90), 5, at(9)));
+    assert_eq!(writer.write(at(90), &snapshot(5, 3), 1 << 20), None);
     assert_eq!(kept_copy::read(&dir).0.unwrap().list.generation, 5);
 }
 
 #[test]
-fn a_list_longer_than_its_room_is_not_kept() {
-    let home = tempdir().unwrap();
-    let dir = home.path().to_owned();
+fn a_list_longer_than_its_disk_space_is_not_kept() {
+    let folder = tempdir().unwrap();
+    let dir = folder.path().to_owned();
     let rules = KeptCopyRules { disk_bytes: 12 * 1024, ..KeptCopyRules::default() };
-    let mut keeper = KeptCopyWriter::new(&dir, rules, places());
-    assert!(keeper.write(Micros(0), &edition(1, 100), 1 << 30).unwrap().contains("100 backends"));
+    let mut writer = KeptCopyWriter::new(&dir, rules, place_names());
+    assert!(writer.write(Micros(0), &snapshot(1, 100), 1 << 30).unwrap().contains("100 backends"));
     assert_eq!(kept_copy::read(&dir), (None, Vec::new()));
 }
 
-/// What discovery sends, cut and damaged: an error or a list, never a panic.
+/// A list of discovery, truncated and damaged, gives an error or a list, never a panic.
 #[test]
-fn no_bytes_of_a_list_panic() {
-    let text = serde_json::to_vec(&copy(5).list).unwrap();
+fn no_damaged_list_causes_a_panic() {
+    let text = serde_json::to_vec(&kept_list(5).list).unwrap();
     let mut seed = 7u64;
     for round in 0..20_000 {
         seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
@@ -156,10 +158,10 @@
             bytes[at] = (seed >> (40 + n)) as u8;
         }
         bytes.truncate(bytes.len() - (seed >> 56) as usize % 32);
-        if let Ok(read) = ParsedList::parse(&bytes) {
-            let places = places();
-            let word = read.into_update(indigohold::register::Source::Discovery, &places, Micros(0));
-            assert!(word.records.len() + word.unreadable.len() <= 6);
+        if let Ok(parsed) = ParsedList::parse(&bytes) {
+            let place_names = place_names();
+            let update = parsed.into_update(indigohold::register::Source::Discovery, &place_names, Micros(0));
+            assert!(update.records.len() + update.unreadable.len() <= 6);
         }
     }
 }
