--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -127,7 +127,7 @@
 fn watch(platform: &Platform, again: &mut SilenceRetry) -> Ended {
     let Err(ended) = watched(platform, again);
     if matches!(ended, Ended::NotOffered) {
-        again.heard();
+        again.record_answer();
     }
     ended
 }
@@ -153,7 +153,7 @@
             silence.line_received(clock.now());
             if !told {
                 told = true;
-                again.heard();
+                again.record_answer();
                 platform.site.answered();
             }
             if line.iter().all(u8::is_ascii_whitespace) {
@@ -193,7 +193,7 @@
             tracing::warn!(target: "discovery", "the list at {addr} was not told: {e}");
             rest(orders, platform.site.within(span));
         }
-        again.heard();
+        again.record_answer();
         platform.site.answered();
         // A wish that comes meanwhile is served by the next read; a move ends the reading.
         rest(orders, platform.site.jittered(platform.poll));
--- a/src/register/discovery_timing.rs
+++ b/src/register/discovery_timing.rs
@@ -91,7 +91,7 @@
 #[derive(Debug)]
 pub struct SilenceRetry {
     spread: Micros,
-    /// Nothing was heard since the last failed request.
+    /// Nothing was received since the last failed request.
     silent: bool,
 }
 
@@ -102,7 +102,7 @@
     }
 
     /// Discovery has answered, if only that it offers no watch.
-    pub fn heard(&mut self) {
+    pub fn record_answer(&mut self) {
         self.silent = false;
     }
 
@@ -164,10 +164,10 @@
             assert!(SILENCE_TIMEOUT + spread.scale(2.0) <= NOTIFIED_AFTER, "{couriers}: {spread:?}");
             assert!(spread >= RETRY_SPACING.scale(f64::from(couriers.min(20))), "{couriers}: {spread:?}");
             assert_eq!(retry.retry_within(true), None, "{couriers}: no tight loop");
-            retry.heard();
+            retry.record_answer();
             assert_eq!(retry.retry_within(false), None, "discovery answers with a refusal");
-            assert_eq!(retry.retry_within(true), None, "nothing was heard since");
-            retry.heard();
+            assert_eq!(retry.retry_within(true), None, "nothing was received since");
+            retry.record_answer();
             assert_eq!(retry.retry_within(true), Some(spread));
         }
     }
--- a/src/register/phase.rs
+++ b/src/register/phase.rs
@@ -20,11 +20,11 @@
     Cold,
     /// Only a remembered list or the operators' static file is known.
     FromCopy,
-    /// Discovery is heard, but a list of it is not confirmed yet.
+    /// Discovery answers, but a list of it is not confirmed yet.
     Provisional,
-    /// Discovery is heard.
+    /// Discovery answers.
     Live,
-    /// Discovery was heard and has gone silent.
+    /// Discovery has sent a list and has gone silent.
     Stale,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct PhaseInputs {
     /// Discovery has sent an update in this process run.
-    pub discovery_heard: bool,
+    pub discovery_updated: bool,
     /// Its watch is open.
     pub watching: bool,
     /// Time since its last update or heartbeat.
@@ -50,9 +50,9 @@
     /// stale.
     pub fn of(inputs: &PhaseInputs, stale_after: Micros) -> Phase {
         match inputs {
-            i if i.discovery_heard && !i.watching && i.silent_for > stale_after => Phase::Stale,
-            i if i.discovery_heard && i.holds_endpoints => Phase::Provisional,
-            i if i.discovery_heard || i.zone_loaded => Phase::Live,
+            i if i.discovery_updated && !i.watching && i.silent_for > stale_after => Phase::Stale,
+            i if i.discovery_updated && i.holds_endpoints => Phase::Provisional,
+            i if i.discovery_updated || i.zone_loaded => Phase::Live,
             i if i.has_fallback => Phase::FromCopy,
             _ => Phase::Cold,
         }
--- a/src/register/resolve.rs
+++ b/src/register/resolve.rs
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Discovery is heard again after a silence: ends the ejections and the call limits of that time.
+    /// Discovery answers again after a silence: ends the ejections and the call limits of that time.
     pub(super) fn lift_limits(&mut self, now: Micros, effects: &mut RegistryEffects) {
         let ejected =
             self.published.iter().filter(|(_, p)| p.ejected).map(|(name, _)| name.clone()).collect();
@@ -135,7 +135,7 @@
     pub(super) fn update_phase(&mut self, now: Micros, effects: &mut RegistryEffects) {
         let discovery = self.source(Source::Discovery).filter(|state| state.has_update);
         let inputs = PhaseInputs {
-            discovery_heard: discovery.is_some(),
+            discovery_updated: discovery.is_some(),
             watching: self.watching,
             silent_for: discovery.map_or(Micros(0), |state| now - state.as_of),
             holds_endpoints: !self.held.is_empty(),
--- a/tests/register.rs
+++ b/tests/register.rs
@@ -261,9 +261,9 @@
     let (mut registry, mut published) =
         (registry_with(RegistryRules::default()), PublishedEndpoints::default());
     published.apply(&registry.apply_update(at(1), full_update(Source::Discovery, 9, &["a", "b"], at(1))));
-    let word =
+    let update =
         ListUpdate { unreadable: vec!["b".into()], ..full_update(Source::Discovery, 10, &["a"], at(2)) };
-    published.apply(&registry.apply_update(at(2), word));
+    published.apply(&registry.apply_update(at(2), update));
     assert_eq!(published.up(), ["a", "b"]);
 }
 
