--- a/lab/src/deployments/play.rs
+++ b/lab/src/deployments/play.rs
@@ -182,8 +182,8 @@
             self.order(order);
         }
         let now = self.now;
-        self.seen.held(now, self.core.owed());
-        let at = self.core.alarm_at().map_or(now + LOOK, |at| at.clamp(now + Micros(1), now + LOOK));
+        self.seen.held(now, self.core.pending_messages());
+        let at = self.core.next_timer_at().map_or(now + LOOK, |at| at.clamp(now + Micros(1), now + LOOK));
         if at < self.tick_at {
             self.tick_at = at;
             self.after(at - now, Event::Tick);
--- a/lab/src/virtual_time/life.rs
+++ b/lab/src/virtual_time/life.rs
@@ -79,7 +79,7 @@
         now: Micros, number: u32,
     ) -> Life {
         let journal = Journal::at(Box::new(disk), bytes, now).expect("memory can always be written");
-        let (core, orders) = Core::with(sender, settings, seed, now, journal, Options::default());
+        let (core, orders) = Core::with_policy(sender, settings, seed, now, journal, Options::default());
         Life {
             number,
             core,
--- a/lab/src/virtual_time/mod.rs
+++ b/lab/src/virtual_time/mod.rs
@@ -584,7 +584,7 @@
         }
         let now = self.now;
         let Some(life) = self.machines[n as usize].life.as_mut() else { return };
-        let at = life.core.alarm_at().map_or(now + LOOK, |at| at.clamp(now + Micros(1), now + LOOK));
+        let at = life.core.next_timer_at().map_or(now + LOOK, |at| at.clamp(now + Micros(1), now + LOOK));
         if at < life.tick_at {
             life.tick_at = at;
             let number = life.number;
--- a/src/control/replay.rs
+++ b/src/control/replay.rs
@@ -3,7 +3,7 @@
 use super::server::value;
 use super::shape::{Problem, Words};
 use crate::api::Micros;
-use crate::core::ordering::{State, Why};
+use crate::core::replay_orders::{ReplayOrderError, ReplayOrderState};
 use crate::core::Courier;
 use crate::history::given::{Part, Told};
 use crate::history::keeper::Keeper;
@@ -141,7 +141,7 @@
                 away.map(|(node, _)| (node, oldest(keeper, node, order.tenant))).collect()
             };
             let (me, missing) =
-                courier.history(|keeper, now| (keeper.me, away(keeper, now))).ok_or_else(off)?;
+                courier.with_history(|keeper, now| (keeper.me, away(keeper, now))).ok_or_else(off)?;
             let shape = PlanShape {
                 id: name(order.id()),
                 me,
@@ -156,24 +156,29 @@
             let order = order(words, body)?;
             let cant = |why| {
                 let detail = match why {
-                    Why::Off => return off(),
-                    Why::Refused(Refused::Full) => "too many orders run: stop one, or wait",
-                    Why::Refused(Refused::Named) => {
+                    ReplayOrderError::HistoryUnavailable => return off(),
+                    ReplayOrderError::Refused(Refused::Full) => "too many orders run: stop one, or wait",
+                    ReplayOrderError::Refused(Refused::Named) => {
                         "its number is too near to another's: word the reason otherwise"
                     }
-                    Why::Refused(Refused::Lapsed) => "by this courier's clock its time is over",
+                    ReplayOrderError::Refused(Refused::Lapsed) => "by this courier's clock its time is over",
                 };
                 Problem::new("many", 409, "it can't be run", detail)
             };
             value(200, &shape(words, &courier.replay_run(&order).map_err(cant)?))
         }
         ("GET", []) => {
-            let all: Vec<RunShape> = courier.replays().iter().map(|state| shape(words, state)).collect();
+            let all: Vec<RunShape> =
+                courier.replay_orders().iter().map(|state| shape(words, state)).collect();
             value(200, &all)
         }
         ("GET", [id]) => {
-            let state = number(id).and_then(|number| courier.replay_of(number)).ok_or_else(|| unknown(id))?;
-            value(200, &courier.history(|keeper, now| fleet(words, &state, keeper, now)).ok_or_else(off)?)
+            let state =
+                number(id).and_then(|number| courier.replay_order(number)).ok_or_else(|| unknown(id))?;
+            value(
+                200,
+                &courier.with_history(|keeper, now| fleet(words, &state, keeper, now)).ok_or_else(off)?,
+            )
         }
         ("DELETE", [id]) => {
             let unknown = || unknown(id);
@@ -231,14 +236,14 @@
     }
 }
 
-fn shape(words: &Words, state: &State) -> RunShape {
+fn shape(words: &Words, state: &ReplayOrderState) -> RunShape {
     let Part { phase, left, taken, refused, passed, .. } = state.part;
     RunShape {
         id: name(state.given.order.id()),
         want: wanted(words, &state.given.order),
         state: phase.name().into(),
-        left: u64::from(left).saturating_sub(state.out),
-        out: state.out,
+        left: u64::from(left).saturating_sub(state.in_flight),
+        out: state.in_flight,
         taken: taken.into(),
         refused: refused.into(),
         passed: passed.into(),
@@ -257,7 +262,7 @@
     }
 }
 
-fn fleet(words: &Words, state: &State, keeper: &Keeper, now: Micros) -> FleetShape {
+fn fleet(words: &Words, state: &ReplayOrderState, keeper: &Keeper, now: Micros) -> FleetShape {
     let given = &state.given;
     let mut out = FleetShape {
         id: name(given.order.id()),
@@ -271,7 +276,8 @@
         missing: BTreeMap::new(),
     };
     for (node, here) in keeper.members(now) {
-        let told: Option<&Told> = u16::try_from(node).ok().and_then(|node| state.told.get(&node));
+        let told: Option<&Told> =
+            u16::try_from(node).ok().and_then(|node| state.reported_by_peers.get(&node));
         let said = told.map(|told| part(&told.part, told.at));
         match (here, said) {
             // What a former life said is no word of the one that is there.
--- a/src/control/retention.rs
+++ b/src/control/retention.rs
@@ -136,7 +136,7 @@
         (_, []) => return Err(Problem::new("method", 405, "not with this method", method)),
         _ => return Err(Problem::new("path", 404, "no such path", parts.join("/"))),
     };
-    let done: Option<Result<RetentionShape, Problem>> = courier.history(|keeper, now| {
+    let done: Option<Result<RetentionShape, Problem>> = courier.with_history(|keeper, now| {
         if let Some(order) = &order {
             give(keeper, words, order, now)?;
         }
--- a/src/core/taking.rs
+++ b/src/core/admission.rs
@@ -1,6 +1,8 @@
 //! Reqs that are handed in: taken or refused at once, and written down before any answer says so.
 
-use super::{message, returned, Answer, Core, Order, PendingMessage, Req, Verdict, DEFAULT_RETRY_AFTER};
+use super::{
+    policy_message, returned_event, Answer, Core, Order, PendingMessage, Req, Verdict, DEFAULT_RETRY_AFTER,
+};
 use crate::admin::figures::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
 use crate::register::trust::CallEnd;
@@ -8,23 +10,23 @@
 
 impl Core {
     /// How long a client is told to stay away where the module has said nothing; never longer than the settings say it heeds.
-    pub(super) fn stay_away(&self) -> Micros {
+    pub(super) fn default_retry_after(&self) -> Micros {
         DEFAULT_RETRY_AFTER.min(self.draining.max_retry_after)
     }
 
     /// Taken or refused at once, each in its turn. The journal has all that are taken before any answer says so.
-    pub(super) fn take(&mut self, now: Micros, reqs: Vec<Req>) -> Vec<Answer> {
+    pub(super) fn admit(&mut self, now: Micros, reqs: Vec<Req>) -> Vec<Answer> {
         if !self.is_active() {
-            return reqs.iter().map(|_| Answer::Refused(self.stay_away())).collect();
+            return reqs.iter().map(|_| Answer::Refused(self.default_retry_after())).collect();
         }
         let mut answers = Vec::with_capacity(reqs.len());
         let mut batch: Vec<(u64, Arc<Req>)> = Vec::new();
         for req in reqs {
             // Danger: one that is handed in twice in a batch was known by a message that may yet be refused.
             if batch.iter().any(|(_, other)| other.id == req.id) {
-                self.decide(now, std::mem::take(&mut batch), &mut answers);
+                self.record_and_decide(now, std::mem::take(&mut batch), &mut answers);
             }
-            match self.look_at(now, &req, batch.len()) {
+            match self.immediate_answer(now, &req, batch.len()) {
                 Some(answer) => {
                     tracing::debug!(target: "attempts", id = %req.id, ?answer, "answered without a decision");
                     match answer {
@@ -44,17 +46,17 @@
                 }
             }
         }
-        self.decide(now, batch, &mut answers);
+        self.record_and_decide(now, batch, &mut answers);
         answers
     }
 
     /// The answer to a req that needs no decision of the module; so many before it are about to be taken.
-    pub(super) fn look_at(&mut self, now: Micros, req: &Req, before: usize) -> Option<Answer> {
-        let stay_away = self.stay_away();
+    pub(super) fn immediate_answer(&mut self, now: Micros, req: &Req, before: usize) -> Option<Answer> {
+        let stay_away = self.default_retry_after();
         // Handed in again under the same id: its answer was lost on the way, and it is owed, or was answered, once.
         if let Some(held) = self.messages_by_id.get(&req.id).and_then(|msg| self.messages.get_mut(msg)) {
             // Danger: another's message under an id that is taken was told that it is taken on, and never was.
-            if !same(&held.req, req) {
+            if !is_same_message(&held.req, req) {
                 return Some(Answer::Refused(stay_away));
             }
             held.accepted_from_other_client = true;
@@ -79,11 +81,13 @@
     }
 
     /// Writes a batch down and asks the module. Who can't be taken has its answer changed.
-    pub(super) fn decide(&mut self, now: Micros, batch: Vec<(u64, Arc<Req>)>, answers: &mut [Answer]) {
+    pub(super) fn record_and_decide(
+        &mut self, now: Micros, batch: Vec<(u64, Arc<Req>)>, answers: &mut [Answer],
+    ) {
         if batch.is_empty() {
             return;
         }
-        let stay_away = self.stay_away();
+        let stay_away = self.default_retry_after();
         let mut refuse = |msg: u64, wait: Micros| {
             for answer in answers.iter_mut().filter(|a| **a == Answer::Taken(msg)) {
                 *answer = Answer::Refused(wait);
@@ -98,7 +102,7 @@
         let mut events = Vec::with_capacity(taken);
         let mut asking = Vec::with_capacity(taken);
         for (id, req) in &batch[..taken] {
-            events.push(Event::Demand(message(*id, req)));
+            events.push(Event::Demand(policy_message(*id, req)));
             asking.push((*id, None));
             self.messages_by_id.insert(req.id.clone(), *id);
             let parked = Some(Vec::new());
@@ -137,22 +141,22 @@
     }
 
     /// The client went before its answer was written.
-    pub(super) fn withdrawn(&mut self, now: Micros, msg: u64) {
+    pub(super) fn withdraw_unanswered(&mut self, now: Micros, msg: u64) {
         let Some(parked) = self.messages.get_mut(&msg).and_then(|m| m.orders_after_answer.take()) else {
             return;
         };
         let mut events = vec![Event::Withdrawn(MessageId(msg))];
         for order in parked {
             if let Order::Fetch(fetch) = order {
-                events.push(returned(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
-                self.trust(now, &fetch, CallEnd::Unsent, &mut events);
+                events.push(returned_event(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
+                self.record_call_end(now, &fetch, CallEnd::Unsent, &mut events);
             }
         }
         if let Some(fetch) = self.leave_batch(msg) {
-            events.push(returned(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
-            self.trust(now, &fetch, CallEnd::Unsent, &mut events);
+            events.push(returned_event(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
+            self.record_call_end(now, &fetch, CallEnd::Unsent, &mut events);
         }
-        events.extend(self.leave_line(msg));
+        events.extend(self.leave_waiting_line(msg));
         self.end_message(now, msg, None);
         self.feed(now, &events, &mut []);
     }
@@ -160,7 +164,7 @@
 
 /// The same message, handed in twice; its deadline counts from another moment. An id that is recognised after its end
 /// was made from the message itself, whose traces may differ by now.
-fn same(a: &Req, b: &Req) -> bool {
+fn is_same_message(a: &Req, b: &Req) -> bool {
     let of = |r: &Req| (r.class, r.tenant, r.head.clone());
     a.front == b.front && a.dest == b.dest && (a.keep_id.0 > 0 || of(a) == of(b) && a.body == b.body)
 }
--- a/src/core/listing.rs
+++ b/src/core/backend_lists.rs
@@ -1,17 +1,17 @@
 //! What the register says reaches the module and the fronts; names of backends, and those left out by hand.
 
-use super::{returned, Backend, Core, EndpointState, Order, PLATFORM_FRONT};
+use super::{returned_event, Backend, Core, EndpointState, Order, PLATFORM_FRONT};
 use crate::api::{DestinationId, EndpointId, Entry, Event, KindId, ListingState, Micros, Outcome, ZoneId};
 use crate::register::trust::CallEnd;
 use crate::register::{EndpointChange, RegistryEffects};
 use std::sync::Arc;
 
 /// A backend that has gone is known for so long: more than any window in which a message may be repeated.
-const GONE_KEPT: Micros = Micros(60_000_000);
-const GONE_MOST: usize = 512;
+const REMOVED_BACKEND_RETENTION: Micros = Micros(60_000_000);
+const MAX_REMOVED_BACKENDS: usize = 512;
 
 impl Core {
-    pub(super) fn count_members(&mut self) {
+    pub(super) fn update_member_counts(&mut self) {
         let (mut members, mut unavailable) = (0, 0);
         for (front, name, out) in self.register.members() {
             let endpoint = self.endpoint_ids.get(&(front, name.to_owned()));
@@ -24,7 +24,7 @@
     }
 
     /// Takes over what the operators have left out or put back since the last look.
-    pub(super) fn look_at_hand(&mut self, now: Micros) {
+    pub(super) fn apply_overrides(&mut self, now: Micros) {
         let Some(hand) = self.overrides.clone().filter(|hand| hand.version() != self.overrides_version)
         else {
             return;
@@ -32,14 +32,14 @@
         // Danger: read before the set, so that a change in between is looked at once more and never missed.
         self.overrides_version = hand.version();
         for (front, back, news) in self.register.set_excluded(now, hand.out()) {
-            let back = back.iter().map(|name| Event::Restarted(self.intern(front, name))).collect();
-            self.listed(now, front, news, back);
+            let back = back.iter().map(|name| Event::Restarted(self.endpoint_id(front, name))).collect();
+            self.apply_list_change(now, front, news, back);
         }
-        self.count_members();
+        self.update_member_counts();
     }
 
     /// The module's name for a backend. Its address may differ from courier to courier and change.
-    pub(super) fn intern(&mut self, front: u8, name: &str) -> EndpointId {
+    pub(super) fn endpoint_id(&mut self, front: u8, name: &str) -> EndpointId {
         let next = EndpointId { addr: self.next_endpoint_number.to_be_bytes(), port: 0 };
         *self.endpoint_ids.entry((front, name.to_owned())).or_insert_with(|| {
             self.next_endpoint_number += 1;
@@ -48,19 +48,21 @@
     }
 
     /// Carries out what the register decided, and tells the module.
-    pub(super) fn listed(&mut self, now: Micros, front: u8, news: RegistryEffects, more: Vec<Event>) {
-        let mut events = self.changed(now, front, news);
+    pub(super) fn apply_list_change(
+        &mut self, now: Micros, front: u8, news: RegistryEffects, more: Vec<Event>,
+    ) {
+        let mut events = self.list_change_events(now, front, news);
         events.extend(more);
         self.feed(now, &events, &mut []);
     }
 
     /// The same; the events for the module are returned.
-    pub(super) fn changed(&mut self, now: Micros, front: u8, news: RegistryEffects) -> Vec<Event> {
+    pub(super) fn list_change_events(&mut self, now: Micros, front: u8, news: RegistryEffects) -> Vec<Event> {
         news.log_lines.iter().for_each(|words| tracing::info!(target: "register", "{words}"));
         let mut lines = Vec::with_capacity(news.changes.len());
         for EndpointChange { record: line, ejected } in news.changes {
             let key = (front, line.name.clone());
-            let endpoint = self.intern(front, &line.name);
+            let endpoint = self.endpoint_id(front, &line.name);
             lines.push(Entry {
                 endpoint,
                 destination: DestinationId(line.dest),
@@ -75,7 +77,7 @@
                 weight: line.weight,
                 rank: line.rank,
             });
-            self.batches.listed(endpoint, line.kind);
+            self.batches.set_kind(endpoint, line.kind);
             let listed = Arc::new(Backend { name: key.1, addr: line.addr });
             if line.state == EndpointState::Gone {
                 self.removed_backends.push_back((now, front, listed.clone()));
@@ -85,20 +87,20 @@
             let parts = line.state != EndpointState::Up;
             before.into_iter().chain(parts.then_some(listed)).for_each(|b| self.order(Order::CloseIdle(b)));
         }
-        self.forget_gone(now);
+        self.forget_removed_backends(now);
         if news.reread_list {
             self.order(Order::ReadList(front));
         }
         let mut events: Vec<Event> =
-            news.rejected.into_iter().filter_map(|msg| self.leave_line(msg)).collect();
+            news.rejected.into_iter().filter_map(|msg| self.leave_waiting_line(msg)).collect();
         for msg in news.released {
             let Some((fetch, cap)) = self.waiting_fetches.remove(&msg) else { continue };
             if self.messages.contains_key(&msg) {
                 self.start(now, fetch, cap);
             } else {
                 // Danger: a call whose message has ended meanwhile would hold its slot for ever.
-                events.push(returned(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
-                self.trust(now, &fetch, CallEnd::Unsent, &mut events);
+                events.push(returned_event(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
+                self.record_call_end(now, &fetch, CallEnd::Unsent, &mut events);
             }
         }
         if !lines.is_empty() {
@@ -108,10 +110,10 @@
     }
 
     /// Danger: where backends come and go all day, their names alone fill memory in the end.
-    pub(super) fn forget_gone(&mut self, now: Micros) {
+    pub(super) fn forget_removed_backends(&mut self, now: Micros) {
         let over = |s: &Core| {
-            s.removed_backends.len() > GONE_MOST
-                || s.removed_backends.front().is_some_and(|g| g.0 + GONE_KEPT <= now)
+            s.removed_backends.len() > MAX_REMOVED_BACKENDS
+                || s.removed_backends.front().is_some_and(|g| g.0 + REMOVED_BACKEND_RETENTION <= now)
         };
         while over(self) {
             let Some((_, front, backend)) = self.removed_backends.pop_front() else { return };
@@ -120,7 +122,7 @@
             if !self.register.front(front).is_some_and(|b| b.contains(&key.1)) {
                 if let Some(endpoint) = self.endpoint_ids.remove(&key) {
                     self.backends.remove(&endpoint);
-                    self.batches.forget(endpoint);
+                    self.batches.remove_endpoint(endpoint);
                 }
             }
         }
--- a/src/core/batches.rs
+++ b/src/core/batches.rs
@@ -6,61 +6,69 @@
 use std::collections::BTreeMap;
 
 /// A try that the module has ordered.
-pub(super) struct Try {
+pub(super) struct OrderedAttempt {
     /// The message.
     pub msg: u64,
     /// Where to.
-    pub at: EndpointId,
+    pub endpoint: EndpointId,
     /// For how long at most.
-    pub cap: Micros,
+    pub timeout: Micros,
 }
 
 /// A batch of which not all answers are written.
-struct Gathering {
+struct PendingBatch {
     fetches: Vec<Fetch>,
     /// So many answers are still to be written.
-    waits: usize,
+    unwritten_answers: usize,
 }
 
 /// The core's part in batches.
 pub(super) struct Batches {
     /// Messages in one call at most, by kind.
-    most: Vec<u32>,
+    max_messages_by_kind: Vec<u32>,
     kinds: BTreeMap<EndpointId, u8>,
-    gathering: BTreeMap<u64, Gathering>,
-    next: u64,
+    pending: BTreeMap<u64, PendingBatch>,
+    next_batch: u64,
 }
 
 impl Batches {
     pub(super) fn new(most: Vec<u32>) -> Batches {
-        Batches { most, kinds: BTreeMap::new(), gathering: BTreeMap::new(), next: 0 }
+        Batches {
+            max_messages_by_kind: most,
+            kinds: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            next_batch: 0,
+        }
     }
 
     /// The list says so.
-    pub(super) fn listed(&mut self, at: EndpointId, kind: u8) {
+    pub(super) fn set_kind(&mut self, at: EndpointId, kind: u8) {
         self.kinds.insert(at, kind);
     }
 
     /// It is known no more.
-    pub(super) fn forget(&mut self, at: EndpointId) {
+    pub(super) fn remove_endpoint(&mut self, at: EndpointId) {
         self.kinds.remove(&at);
     }
 
-    fn most(&self, at: EndpointId) -> usize {
-        let most = self.kinds.get(&at).and_then(|kind| self.most.get(usize::from(*kind)));
+    fn max_messages(&self, at: EndpointId) -> usize {
+        let most = self.kinds.get(&at).and_then(|kind| self.max_messages_by_kind.get(usize::from(*kind)));
         most.map_or(1, |most| (*most as usize).max(1))
     }
 
     /// What goes together, in the order of the first of each.
-    pub(super) fn of_one_turn(&self, tries: Vec<Try>) -> Vec<Vec<Try>> {
-        let mut calls: Vec<Vec<Try>> = Vec::new();
+    pub(super) fn group_into_calls(&self, tries: Vec<OrderedAttempt>) -> Vec<Vec<OrderedAttempt>> {
+        let mut calls: Vec<Vec<OrderedAttempt>> = Vec::new();
         let mut open: BTreeMap<EndpointId, usize> = BTreeMap::new();
         for one in tries {
-            let room = open.get(&one.at).copied().filter(|n| calls[*n].len() < self.most(one.at));
+            let room = open
+                .get(&one.endpoint)
+                .copied()
+                .filter(|n| calls[*n].len() < self.max_messages(one.endpoint));
             match room {
                 Some(n) => calls[n].push(one),
                 None => {
-                    open.insert(one.at, calls.len());
+                    open.insert(one.endpoint, calls.len());
                     calls.push(vec![one]);
                 }
             }
@@ -70,20 +78,21 @@
 }
 
 /// A call waits for so much at least of the longest time that the module gave one of its members.
-const TIME_KEPT: f64 = 0.25;
+const MIN_TIMEOUT_SHARE: f64 = 0.25;
 
 /// Those of one call that can be waited for together; each call's members have one deadline, and nobody's own time is up before
 /// it. Danger: a call has one fate. With a member whose message ends while the others are still waited for, what the answer says
 /// of the rest may count for nothing. Danger: most answers come long before, and a call more is one more at the limit; so only
 /// those with very little time left go by themselves.
-pub(super) fn of_one_time(now: Micros, mut fetches: Vec<Fetch>) -> Vec<Vec<Fetch>> {
+pub(super) fn split_by_deadline(now: Micros, mut fetches: Vec<Fetch>) -> Vec<Vec<Fetch>> {
     let longest = fetches.iter().map(|fetch| fetch.deadline).max().unwrap_or_default();
     fetches.iter_mut().for_each(|fetch| fetch.deadline = longest.min(fetch.req.due));
     fetches.sort_by_key(|fetch| std::cmp::Reverse(fetch.deadline));
     let mut calls: Vec<Vec<Fetch>> = Vec::new();
     for fetch in fetches {
         let joins = |call: &&mut Vec<Fetch>| {
-            call.first().is_some_and(|first| fetch.deadline - now >= (first.deadline - now).scale(TIME_KEPT))
+            call.first()
+                .is_some_and(|first| fetch.deadline - now >= (first.deadline - now).scale(MIN_TIMEOUT_SHARE))
         };
         match calls.last_mut().filter(joins) {
             Some(call) => call.push(fetch),
@@ -100,7 +109,7 @@
 impl Core {
     /// Goes at once, or when the last answer that it waits for is written.
     pub(super) fn start_batch(&mut self, fetches: Vec<Fetch>) {
-        let batch = self.batches.next;
+        let batch = self.batches.next_batch;
         let mut waits = 0;
         for fetch in &fetches {
             if let Some(held) =
@@ -113,18 +122,18 @@
         if waits == 0 {
             return self.order(Order::Batch(fetches));
         }
-        self.batches.next += 1;
-        self.batches.gathering.insert(batch, Gathering { fetches, waits });
+        self.batches.next_batch += 1;
+        self.batches.pending.insert(batch, PendingBatch { fetches, unwritten_answers: waits });
     }
 
     /// One more of the answers that a batch waits for is written, or will not be.
-    pub(super) fn one_more(&mut self, batch: u64) {
-        let Some(gathering) = self.batches.gathering.get_mut(&batch) else { return };
-        gathering.waits -= 1;
-        if gathering.waits > 0 {
+    pub(super) fn batch_answer_resolved(&mut self, batch: u64) {
+        let Some(gathering) = self.batches.pending.get_mut(&batch) else { return };
+        gathering.unwritten_answers -= 1;
+        if gathering.unwritten_answers > 0 {
             return;
         }
-        let Some(Gathering { mut fetches, .. }) = self.batches.gathering.remove(&batch) else { return };
+        let Some(PendingBatch { mut fetches, .. }) = self.batches.pending.remove(&batch) else { return };
         match fetches.len() {
             0 => {}
             1 => fetches.drain(..).for_each(|fetch| self.order(Order::Fetch(fetch))),
@@ -135,10 +144,10 @@
     /// A message whose answer is not written leaves its batch; its fetch, which never began.
     pub(super) fn leave_batch(&mut self, msg: u64) -> Option<Fetch> {
         let batch = self.messages.get_mut(&msg)?.waiting_batch.take()?;
-        let fetches = &mut self.batches.gathering.get_mut(&batch)?.fetches;
+        let fetches = &mut self.batches.pending.get_mut(&batch)?.fetches;
         let place = fetches.iter().position(|fetch| fetch.msg == msg);
         let fetch = place.map(|place| fetches.remove(place));
-        self.one_more(batch);
+        self.batch_answer_resolved(batch);
         fetch
     }
 }
@@ -180,20 +189,24 @@
         let dues = [90_000, 5_400, 80_000, 5_240, 5_030, 6_000, 5_200, 70_000, 5_990];
         let until = |i: usize, due: u64| due.min(if i == 2 { 5_500 } else { 6_000 });
         let fetches = dues.iter().enumerate().map(|(i, due)| fetch(i as u64, until(i, *due), *due)).collect();
-        let calls = of_one_time(now, fetches);
+        let calls = split_by_deadline(now, fetches);
         for call in &calls {
             for member in call {
                 assert_eq!(member.deadline, call[0].deadline);
                 assert!(member.deadline <= member.req.due, "{} ends while its call is out", member.msg);
                 let own = member.req.due.min(Micros(6_000_000));
-                assert!(member.deadline - now >= (own - now).scale(TIME_KEPT), "{} is cut short", member.msg);
+                assert!(
+                    member.deadline - now >= (own - now).scale(MIN_TIMEOUT_SHARE),
+                    "{} is cut short",
+                    member.msg
+                );
             }
         }
         let of = |call: &Vec<Fetch>| call.iter().map(|fetch| fetch.msg).collect::<Vec<_>>();
         assert_eq!(calls.iter().map(of).collect::<Vec<_>>(), [vec![0, 2, 5, 7, 8, 1], vec![3, 6], vec![4]]);
         assert_eq!(calls[0][0].deadline, Micros(5_400_000));
         // Where all have time enough, all of it is waited for.
-        let calls = of_one_time(now, vec![fetch(0, 6_000, 90_000), fetch(1, 5_500, 80_000)]);
+        let calls = split_by_deadline(now, vec![fetch(0, 6_000, 90_000), fetch(1, 5_500, 80_000)]);
         assert_eq!((calls.len(), calls[0][1].deadline), (1, Micros(6_000_000)));
     }
 }
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -1,6 +1,6 @@
 //! Passes events to the decision module and carries out its actions as orders for the fronts.
 
-use super::batches::{self, Try};
+use super::batches::{self, OrderedAttempt};
 use super::{Core, Fetch, Notice, Order, Verdict};
 use crate::admin::figures::Ended;
 use crate::api::{Action, Event, Micros};
@@ -15,13 +15,13 @@
         for action in actions {
             match action {
                 Action::Try { id, endpoint, timeout } => {
-                    tries.push(Try { msg: id.0, at: endpoint, cap: timeout })
+                    tries.push(OrderedAttempt { msg: id.0, endpoint, timeout })
                 }
                 Action::Decline { id, retry_after } => {
                     self.verdict(now, id.0, Verdict::HandedBack(retry_after), submitted);
                 }
                 Action::Fail(id) => self.verdict(now, id.0, Verdict::GivenUp, submitted),
-                Action::CancelAttempt { id, attempt } => match self.leave_line(id.0) {
+                Action::CancelAttempt { id, attempt } => match self.leave_waiting_line(id.0) {
                     Some(event) => unsent_events.push(event),
                     None => self.order(Order::Cancel { msg: id.0, attempt }),
                 },
@@ -40,7 +40,7 @@
                 Action::SendGossip { to, bytes } => self.note(to, &bytes),
             }
         }
-        for batch in self.batches.of_one_turn(tries) {
+        for batch in self.batches.group_into_calls(tries) {
             self.start_call(now, batch);
         }
         if !unsent_events.is_empty() {
@@ -50,9 +50,9 @@
 
     /// Starts the fetches that share one call. A fetch that has to wait for its turn at a backend that is not fully
     /// trusted is taken out of the call and sent alone later.
-    fn start_call(&mut self, now: Micros, batch: Vec<Try>) {
+    fn start_call(&mut self, now: Micros, batch: Vec<OrderedAttempt>) {
         let mut call = Vec::with_capacity(batch.len());
-        for Try { msg, at, cap } in batch {
+        for OrderedAttempt { msg, endpoint: at, timeout: cap } in batch {
             let (Some(pending), Some(backend)) = (self.messages.get_mut(&msg), self.backends.get(&at)) else {
                 continue;
             };
@@ -73,7 +73,7 @@
             _ => {
                 let fetches =
                     call.into_iter().map(|(fetch, cap)| self.with_deadline(now, fetch, cap)).collect();
-                for mut call in batches::of_one_time(now, fetches) {
+                for mut call in batches::split_by_deadline(now, fetches) {
                     match call.len() {
                         1 => call.drain(..).for_each(|fetch| self.order_fetch(fetch)),
                         _ => self.start_batch(call),
@@ -127,7 +127,7 @@
         let notice = Notice { msg, req: pending.req.clone(), verdict, last_reply };
         match &mut pending.orders_after_answer {
             Some(parked) => parked.push(Order::Notice(notice)),
-            None => self.tell(now, notice),
+            None => self.send_notice(now, notice),
         }
     }
 
@@ -147,7 +147,7 @@
         if let Some(pending) = self.messages.get(&msg) {
             if let Some(ended) = ended {
                 self.figures.count(ended, pending.req.class);
-                self.recent_outcomes.ended(now, &pending.req.id, ended);
+                self.recent_outcomes.record(now, &pending.req.id, ended);
             }
             self.draining.ended(now, &pending.req);
         }
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -195,7 +195,7 @@
                 let verdict = match drain::answer(effect, history) {
                     drain::Answer::HandBack => {
                         tally.handed_back += 1;
-                        Verdict::HandedBack(self.stay_away())
+                        Verdict::HandedBack(self.default_retry_after())
                     }
                     drain::Answer::GiveUp => {
                         tally.given_up += 1;
--- a/src/core/ending.rs
+++ b/src/core/fetch_calls.rs
@@ -1,7 +1,7 @@
 //! How fetches begin and end: the last look before a first byte, and what an outcome means for all that is owed.
 
 use super::attempt_log::Withheld;
-use super::{returned, Core, End, Fetch, FinishedFetch, Verdict, MIN_TIME_TO_BEGIN};
+use super::{returned_event, Core, End, Fetch, FinishedFetch, Verdict, MIN_TIME_TO_BEGIN};
 use crate::admin::figures::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
 use crate::register::trust::{CallEnd, CallReport};
@@ -10,8 +10,8 @@
 
 impl Core {
     /// Just before the first byte of a fetch, which the journal must hear of first.
-    pub(super) fn begin(&mut self, now: Micros, fetch: &Fetch) -> bool {
-        self.begin_together(now, std::slice::from_ref(fetch)) == [true]
+    pub(super) fn begin_fetch(&mut self, now: Micros, fetch: &Fetch) -> bool {
+        self.begin_fetches(now, std::slice::from_ref(fetch)) == [true]
     }
 
     /// The same for the members of a batch, each by itself, with one write of the journal for all that go.
@@ -19,12 +19,12 @@
         if !self.is_active() {
             return vec![false; fetches.len()];
         }
-        self.begin_together(now, fetches)
+        self.begin_fetches(now, fetches)
     }
 
-    fn begin_together(&mut self, now: Micros, fetches: &[Fetch]) -> Vec<bool> {
+    fn begin_fetches(&mut self, now: Micros, fetches: &[Fetch]) -> Vec<bool> {
         let mut reasons: Vec<Option<Withheld>> =
-            fetches.iter().map(|fetch| self.withheld(now, fetch)).collect();
+            fetches.iter().map(|fetch| self.withheld_reason(now, fetch)).collect();
         let is_replay = |fetch: &Fetch| self.replays.contains(fetch.msg);
         let first_calls =
             fetches.iter().zip(&reasons).filter(|(fetch, why)| why.is_none() && !is_replay(fetch));
@@ -48,8 +48,8 @@
     }
 
     /// Why this fetch may not begin by all that is known now, if it may not.
-    fn withheld(&mut self, now: Micros, fetch: &Fetch) -> Option<Withheld> {
-        self.look_at_hand(now);
+    fn withheld_reason(&mut self, now: Micros, fetch: &Fetch) -> Option<Withheld> {
+        self.apply_overrides(now);
         let alive = self.messages.get(&fetch.msg).is_some_and(|m| !m.decided);
         let ends = self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at);
         let listed =
@@ -69,25 +69,25 @@
     }
 
     /// Fetches are over: written down together, and one round of the module on all of them, in their order.
-    pub(super) fn done(&mut self, now: Micros, all: Vec<FinishedFetch>) {
+    pub(super) fn fetches_done(&mut self, now: Micros, all: Vec<FinishedFetch>) {
         if !self.is_active() {
             return self.complete_while_inactive(all);
         }
         let (mut events, mut rejected) = (Vec::with_capacity(all.len()), Vec::new());
         self.journal.gather();
-        all.into_iter().for_each(|over| self.one_done(now, over, &mut events, &mut rejected));
+        all.into_iter().for_each(|over| self.fetch_done(now, over, &mut events, &mut rejected));
         // Danger: an order to send once more, or to tell an end, must not leave before the journal knows how the last call
         // ended.
         self.journal.written();
-        self.lay_down();
+        self.queue_ended_messages();
         rejected.into_iter().for_each(|msg| self.verdict(now, msg, Verdict::GivenUp, &mut []));
-        self.remember(now);
+        self.write_memory_if_due(now);
         if !events.is_empty() {
             self.feed(now, &events, &mut []);
         }
     }
 
-    pub(super) fn one_done(
+    pub(super) fn fetch_done(
         &mut self, now: Micros, over: FinishedFetch, events: &mut Vec<Event>, rejected: &mut Vec<u64>,
     ) {
         if self.replays.contains(over.fetch.msg) {
@@ -100,10 +100,10 @@
         }
         if let End::TurnedAway(Some(wait)) | End::Spoilt(Some(wait)) = end {
             // Known from the head of the answer on, where its front tells of that.
-            self.heard_wait(now, fetch.req.front, fetch.req.dest, wait);
+            self.record_wait(now, fetch.req.front, fetch.req.dest, wait);
         }
         let mut more = Vec::new();
-        let heard = self.trust(now, &fetch, end.for_trust(), &mut more);
+        let heard = self.record_call_end(now, &fetch, end.for_trust(), &mut more);
         if matches!(end, End::Unsent | End::NotBegun)
             && self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at)
         {
@@ -115,7 +115,7 @@
             End::Spoilt(wait) => (Outcome::InvalidAnswer(wait), false),
             End::TurnedAway(wait) => (Outcome::Refused(wait), false),
             End::Unsent => (Outcome::NotSent, false),
-            End::NotBegun => (self.not_begun(fetch.msg), false),
+            End::NotBegun => (self.undo_attempt(fetch.msg), false),
             End::Over | End::Rejected => (Outcome::NotSent, true),
             // A machine that only an old list names says nothing of its destination.
             End::NotConnected if heard == CallReport::AsUnsent => (Outcome::NotSent, false),
@@ -128,43 +128,45 @@
             self.journal.outcome(fetch.msg, end.may_have_run(), &said);
         }
         match end {
-            End::Delivered => self.finish(now, fetch.msg, Ended::Completed, How::Delivered, Some(&said)),
-            End::Over => self.finish(now, fetch.msg, Ended::Failed, How::GivenUp, None),
+            End::Delivered => {
+                self.finish_message(now, fetch.msg, Ended::Completed, How::Delivered, Some(&said))
+            }
+            End::Over => self.finish_message(now, fetch.msg, Ended::Failed, How::GivenUp, None),
             End::Rejected if self.messages.get(&fetch.msg).is_some_and(|m| !m.decided) => {
                 rejected.push(fetch.msg);
             }
             _ => {}
         }
-        events.push(returned(&fetch, outcome, over, latency, load));
+        events.push(returned_event(&fetch, outcome, over, latency, load));
         events.append(&mut more);
     }
 
     /// The register hears how a fetch ended. What follows of that for the module is added to `events`.
-    pub(super) fn trust(
+    pub(super) fn record_call_end(
         &mut self, now: Micros, fetch: &Fetch, end: CallEnd, events: &mut Vec<Event>,
     ) -> CallReport {
         let front = fetch.req.front;
         let (heard, news) = self.register.front_mut(front, now).call_ended(now, &fetch.backend.name, end);
         if news != RegistryEffects::default() {
-            let more = self.changed(now, front, news);
+            let more = self.list_change_events(now, front, news);
             events.extend(more);
         }
         heard
     }
 
     /// Takes a fetch out of the line in which it waits; the module hears that it was never sent.
-    pub(super) fn leave_line(&mut self, msg: u64) -> Option<Event> {
+    pub(super) fn leave_waiting_line(&mut self, msg: u64) -> Option<Event> {
         let (fetch, _) = self.waiting_fetches.remove(&msg)?;
         if let Some(held) = self.messages.get_mut(&msg) {
             held.in_flight = false;
             self.register.front_mut(held.req.front, Micros(0)).cancel_waiting_call(&fetch.backend.name, msg);
         }
-        let outcome = self.not_begun(msg);
-        Some(returned(&fetch, outcome, false, Micros(0), Vec::new()))
+        let outcome = self.undo_attempt(msg);
+        Some(returned_event(&fetch, outcome, false, Micros(0), Vec::new()))
     }
 
     /// The latest attempt of this message is taken back: here, and in the module by the outcome.
-    fn not_begun(&mut self, msg: u64) -> Outcome {
+    fn undo_attempt(&mut self, msg: u64) -> Outcome {
         if let Some(held) = self.messages.get_mut(&msg) {
             held.attempts = held.attempts.wrapping_sub(1);
         }
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -89,7 +89,7 @@
         for deferred in waited {
             match deferred {
                 Deferred::Report(report) => drop(self.report(now, report)),
-                Deferred::Completed(fetches) => self.done(now, fetches),
+                Deferred::Completed(fetches) => self.fetches_done(now, fetches),
                 Deferred::Probed(event) => self.process_probe_result(now, event),
             }
         }
@@ -116,7 +116,7 @@
     pub(super) fn report_while_inactive(&mut self, report: Report) -> Answer {
         match report {
             Report::Begin(_) => return Answer::MayBegin(false),
-            Report::Req(_) => return Answer::Refused(self.stay_away()),
+            Report::Req(_) => return Answer::Refused(self.default_retry_after()),
             Report::Done { fetch, end, latency, load, reply: said } => {
                 self.complete_while_inactive(vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
@@ -199,10 +199,10 @@
             match owed.open {
                 Some((sent, name)) => {
                     held.in_flight = true;
-                    let risk = owed.risk.map(|(at, name)| (at, self.intern(req.front, &name)));
-                    let at = self.intern(req.front, &name);
+                    let risk = owed.risk.map(|(at, name)| (at, self.endpoint_id(req.front, &name)));
+                    let at = self.endpoint_id(req.front, &name);
                     events.push(Event::Resumed {
-                        message: super::message(id, &req),
+                        message: super::policy_message(id, &req),
                         attempts: owed.tries,
                         first_uncertain: risk,
                     });
@@ -216,9 +216,9 @@
                         .insert(id, Fetch { msg: id, attempt, endpoint: at, backend, req, deadline: until });
                 }
                 None => {
-                    let risk = owed.risk.map(|(at, name)| (at, self.intern(req.front, &name)));
+                    let risk = owed.risk.map(|(at, name)| (at, self.endpoint_id(req.front, &name)));
                     events.push(Event::Resumed {
-                        message: super::message(id, &req),
+                        message: super::policy_message(id, &req),
                         attempts: owed.tries,
                         first_uncertain: risk,
                     });
--- a/src/core/keeping.rs
+++ b/src/core/history_feed.rs
@@ -12,49 +12,55 @@
 use std::time::{Duration, Instant};
 
 /// Others may wait so long for the history's file where they could come again.
-const PATIENCE: Duration = Duration::from_millis(50);
+const HISTORY_LOCK_TIMEOUT: Duration = Duration::from_millis(50);
 
 /// The history's thread is at work, or its file hangs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Busy;
+pub struct HistoryBusy;
 
 /// Ended messages are kept.
-pub(super) struct Keeping {
+pub(super) struct HistoryFeed {
     pub shelf: Arc<Shelf>,
     /// The journal has let go of all up to this one.
-    upto: u64,
+    released_up_to: u64,
     /// Too many wait.
-    gives_way: bool,
+    discarding: bool,
 }
 
 impl Core {
     /// What the history holds and the journal owes is the journal's; what has ended there and the history lacks is put in. The
     /// journal's numbers go on behind both.
-    pub(super) fn take_up_history(&mut self, now: Micros, keeper: Option<Keeper>) {
+    pub(super) fn open_history(&mut self, now: Micros, keeper: Option<Keeper>) {
         let ends = self.journal.ended();
         if let Some(mut keeper) = keeper {
             let mark = keeper.take_up(now, self.journal.owed().keys().copied(), &ends);
             self.journal.ends_from(mark);
             let ended = ends.iter().map(|end| end.msg + 1).max().unwrap_or(0);
             self.next_message = self.next_message.max(keeper.next_number()).max(ended);
-            self.history = Some(Keeping { shelf: Arc::new(Shelf::new(keeper)), upto: 0, gives_way: false });
+            self.history = Some(HistoryFeed {
+                shelf: Arc::new(Shelf::new(keeper)),
+                released_up_to: 0,
+                discarding: false,
+            });
         }
         let last = self.journal.last_end();
         self.journal.kept(last);
     }
 
     /// A message has ended, and its client knows or need not be told.
-    pub(super) fn finish(&mut self, now: Micros, msg: u64, ended: Ended, how: How, said: Option<&str>) {
+    pub(super) fn finish_message(
+        &mut self, now: Micros, msg: u64, ended: Ended, how: How, said: Option<&str>,
+    ) {
         let Some(past) = self.history.as_mut().filter(|past| !past.shelf.closed()) else {
             let past = self.history.as_ref().filter(|_| self.journal.owed().contains_key(&msg));
             past.into_iter().for_each(|past| past.shelf.give_way());
             return self.end_message(now, msg, Some(ended));
         };
         if self.journal.end_kept(msg, now, how, said) {
-            past.gives_way = false;
+            past.discarding = false;
         } else {
             past.shelf.give_way();
-            if !std::mem::replace(&mut past.gives_way, true) {
+            if !std::mem::replace(&mut past.discarding, true) {
                 tracing::warn!(target: "history", "its file can't keep up: what ends is not kept for now");
             }
         }
@@ -62,7 +68,7 @@
     }
 
     /// Lays down what the journal has written that it has ended.
-    pub(super) fn lay_down(&mut self) {
+    pub(super) fn queue_ended_messages(&mut self) {
         let Some(past) = self.history.as_ref().filter(|_| !self.journal.behind()) else { return };
         let ends = self.journal.ended();
         if !ends.is_empty() {
@@ -71,11 +77,11 @@
     }
 
     /// The journal lets go of what is put away.
-    pub(super) fn hear_kept(&mut self) {
+    pub(super) fn release_persisted_ends(&mut self) {
         let Some(past) = &mut self.history else { return };
         let upto = past.shelf.upto();
-        if upto > past.upto {
-            past.upto = upto;
+        if upto > past.released_up_to {
+            past.released_up_to = upto;
             self.journal.kept(upto);
         }
     }
@@ -83,22 +89,22 @@
 
 impl Courier {
     /// What operators and other couriers ask of the history; `None`: it is off, or another process has it.
-    pub fn history<T>(&self, by: impl FnOnce(&mut Keeper, Micros) -> T) -> Option<T> {
+    pub fn with_history<T>(&self, by: impl FnOnce(&mut Keeper, Micros) -> T) -> Option<T> {
         self.history.as_ref()?.wait(|keeper| by(keeper, self.clock.now()))
     }
 
     /// The same, if the history is free by then; the error says that it is not.
-    pub fn history_by<T>(
+    pub fn with_history_until<T>(
         &self, until: Instant, by: impl FnOnce(&mut Keeper, Micros) -> T,
-    ) -> Result<Option<T>, Busy> {
+    ) -> Result<Option<T>, HistoryBusy> {
         let Some(shelf) = &self.history else { return Ok(None) };
-        let mut keeper = shelf.free_by(until).ok_or(Busy)?;
+        let mut keeper = shelf.free_by(until).ok_or(HistoryBusy)?;
         Ok(keeper.as_mut().map(|keeper| by(keeper, self.clock.now())))
     }
 
     /// Puts away what has ended, and moves the history's time; on a thread of its own, as the file may be slow. `false`: it is
     /// off, or another process has it.
-    pub fn keep(&self) -> bool {
+    pub fn persist_history(&self) -> bool {
         self.history.as_ref().is_some_and(|shelf| shelf.turn(&|| self.clock.now()))
     }
 }
@@ -106,7 +112,7 @@
 impl Held for Arc<Courier> {
     fn with(&self, by: &mut dyn FnMut(&mut Keeper)) -> bool {
         let Some(shelf) = &self.history else { return true };
-        let Some(mut keeper) = shelf.free_soon(Instant::now() + PATIENCE) else { return false };
+        let Some(mut keeper) = shelf.free_soon(Instant::now() + HISTORY_LOCK_TIMEOUT) else { return false };
         keeper.as_mut().into_iter().for_each(by);
         true
     }
--- a/src/core/recording.rs
+++ b/src/core/journal_outage.rs
@@ -5,13 +5,13 @@
 use crate::api::Micros;
 
 /// How long to wait between two tries to write what could not be written.
-const RETRY: Micros = Micros(20_000);
+const RETRY_INTERVAL: Micros = Micros(20_000);
 
 /// Ends that are not told yet, and whether the journal can be written.
 #[derive(Default)]
-pub(super) struct Recording {
+pub(super) struct JournalOutage {
     /// Notices of verdicts that the journal has in memory only.
-    untold: Vec<Notice>,
+    deferred_notices: Vec<Notice>,
     /// When writing is tried again.
     retry_at: Micros,
     /// The journal was failing at the last look.
@@ -22,18 +22,18 @@
     /// An end is told once the journal has its verdict. Danger: a process that is killed in between takes the message up again
     /// and delivers what its client was told to hand in elsewhere. Once its time is up nothing is delivered any more, so then it
     /// is told all the same.
-    pub(super) fn tell(&mut self, now: Micros, notice: Notice) {
+    pub(super) fn send_notice(&mut self, now: Micros, notice: Notice) {
         if self.journal.behind() && now < notice.req.due {
-            self.journal_outage.untold.push(notice);
+            self.journal_outage.deferred_notices.push(notice);
         } else {
             self.order(Order::Notice(notice));
         }
     }
 
     /// Tries to write what the journal could not write, and tells the ends that waited for it.
-    pub(super) fn keep_recording(&mut self, now: Micros) {
+    pub(super) fn retry_journal(&mut self, now: Micros) {
         if self.journal.failing() && now >= self.journal_outage.retry_at {
-            self.journal_outage.retry_at = now + RETRY;
+            self.journal_outage.retry_at = now + RETRY_INTERVAL;
             // After an error the next try does it.
             let _ = self.journal.catch_up();
         }
@@ -45,23 +45,23 @@
             }
             (true, false) => {
                 tracing::info!(target: "journal", "it is written again");
-                self.lay_down();
+                self.queue_ended_messages();
             }
             _ => {}
         }
-        for notice in std::mem::take(&mut self.journal_outage.untold) {
-            self.tell(now, notice);
+        for notice in std::mem::take(&mut self.journal_outage.deferred_notices) {
+            self.send_notice(now, notice);
         }
     }
 }
 
 impl Courier {
     /// Whether the journal's records are all written; tries once more if some are not.
-    pub fn recorded(&self) -> bool {
+    pub fn journal_written(&self) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
         state.journal_outage.retry_at = now;
-        state.keep_recording(now);
+        state.retry_journal(now);
         !state.journal.behind()
     }
 }
--- a/src/core/remember.rs
+++ b/src/core/memory.rs
@@ -9,32 +9,32 @@
 
 const FILE: Sealed = Sealed { name: "memory", magic: "indigohold-memory", version: 1 };
 /// Room for that file in the folder that lasts, the one before and the one being written counted.
-pub const ROOM: u64 = 256 * 1024;
+pub const MAX_FOLDER_BYTES: u64 = 256 * 1024;
 
 /// The file and when to write it.
 #[derive(Default)]
-pub(super) struct Remembers {
+pub(super) struct MemoryFile {
     dir: Option<PathBuf>,
-    beat: Beat,
+    write_schedule: Beat,
     /// Since when this life is, and with which demand it began.
-    began_at: Micros,
-    began_with: Demand,
+    run_began_at: Micros,
+    initial_demand: Demand,
     /// As the module last counted them.
-    outage_changes: u64,
+    seen_outage_changes: u64,
     /// No demand is in the file; nothing need be written again where nothing is asked.
-    idle: bool,
+    written_empty: bool,
     /// It could not be written, and that was said.
-    fails: bool,
+    write_failed: bool,
 }
 
-impl Remembers {
-    pub(super) fn new(dir: Option<PathBuf>) -> Remembers {
-        Remembers { dir, ..Remembers::default() }
+impl MemoryFile {
+    pub(super) fn new(dir: Option<PathBuf>) -> MemoryFile {
+        MemoryFile { dir, ..MemoryFile::default() }
     }
 }
 
 /// What the folder remembers, as far as it is believed now.
-fn read(dir: &Path, now: Micros) -> (Waits, Demand, Vec<Known>) {
+fn read_memory(dir: &Path, now: Micros) -> (Waits, Demand, Vec<Known>) {
     let (memory, said) = FILE.read(dir, Memory::read);
     said.iter().for_each(|line| tracing::warn!(target: "comeback", "{line}"));
     let memory = memory.unwrap_or_default();
@@ -48,17 +48,17 @@
 
 impl Core {
     /// Goes on with what an earlier life wrote down.
-    pub(super) fn recall(&mut self, now: Micros, taken_over: bool) {
-        self.memory_file.began_at = now;
-        self.memory_file.idle = true;
+    pub(super) fn restore_memory(&mut self, now: Micros, taken_over: bool) {
+        self.memory_file.run_began_at = now;
+        self.memory_file.written_empty = true;
         let Some(dir) = &self.memory_file.dir else { return };
-        let (waits, demand, outages) = read(dir, now);
-        (self.destination_waits, self.memory_file.began_with) = (waits, demand);
+        let (waits, demand, outages) = read_memory(dir, now);
+        (self.destination_waits, self.memory_file.initial_demand) = (waits, demand);
         if !taken_over {
-            self.recall_outages(outages);
+            self.restore_outages(outages);
         }
         // Danger: who takes over from a process that serves was not away, and knows its paces.
-        let demand = self.memory_file.began_with.iter().filter(|_| !taken_over);
+        let demand = self.memory_file.initial_demand.iter().filter(|_| !taken_over);
         let mut paced = 0;
         for (dest, per_s) in demand {
             self.policy.restore_send_rate(DestinationId(*dest), first_pace(*per_s));
@@ -73,20 +73,20 @@
     }
 
     /// Endpoints that were out or cold when the former life last wrote.
-    fn recall_outages(&mut self, outages: Vec<Known>) {
+    fn restore_outages(&mut self, outages: Vec<Known>) {
         if !outages.is_empty() {
             tracing::info!(target: "comeback", endpoints = outages.len(), "outages of an earlier life are heeded");
         }
         for known in outages {
-            let demand = self.memory_file.began_with.iter().find(|(dest, _)| *dest == known.dest);
+            let demand = self.memory_file.initial_demand.iter().find(|(dest, _)| *dest == known.dest);
             let per_s = demand.map_or(0.0, |(_, per_s)| *per_s);
-            let id = self.intern(known.front, &known.name);
+            let id = self.endpoint_id(known.front, &known.name);
             self.policy.restore_outage(id, known.outage, per_s);
         }
     }
 
     /// What is to be written of endpoints that are out or cold now.
-    fn known_outages(&self, now: Micros) -> impl Iterator<Item = Known> + '_ {
+    fn outages_to_record(&self, now: Micros) -> impl Iterator<Item = Known> + '_ {
         let outages: HashMap<EndpointId, Outage> = self.policy.outages(now).into_iter().collect();
         self.endpoint_ids.iter().filter_map(move |((front, name), id)| {
             let outage = *outages.get(id)?;
@@ -96,37 +96,39 @@
     }
 
     /// A partner has told to wait.
-    pub(super) fn heard_wait(&mut self, now: Micros, front: u8, dest: u16, wait: Micros) {
+    pub(super) fn record_wait(&mut self, now: Micros, front: u8, dest: u16, wait: Micros) {
         self.destination_waits.retain(|_, until| *until > now);
         let until = self.destination_waits.entry((front, dest)).or_default();
-        self.memory_file.beat.told(now, *until, now + wait);
+        self.memory_file.write_schedule.told(now, *until, now + wait);
         *until = (*until).max(now + wait);
     }
 
     /// Danger: a process that is killed behind this must not call in its next life before the wait is over; so it is
     /// written before anything that follows from the answer.
-    pub(super) fn remember(&mut self, now: Micros) {
+    pub(super) fn write_memory_if_due(&mut self, now: Micros) {
         let changes = self.policy.outage_changes();
-        if std::mem::replace(&mut self.memory_file.outage_changes, changes) != changes {
-            self.memory_file.beat.changed();
+        if std::mem::replace(&mut self.memory_file.seen_outage_changes, changes) != changes {
+            self.memory_file.write_schedule.changed();
         }
-        let Some(dir) = self.memory_file.dir.as_deref().filter(|_| self.memory_file.beat.due(now)) else {
+        let Some(dir) = self.memory_file.dir.as_deref().filter(|_| self.memory_file.write_schedule.due(now))
+        else {
             return;
         };
         let seen: Demand = self.policy.demand(now).into_iter().map(|(d, per_s)| (d.0, per_s)).collect();
-        let demand = demand_of(now - self.memory_file.began_at, seen, &self.memory_file.began_with);
-        let memory = Memory::of(now, &self.destination_waits, demand).with_outages(self.known_outages(now));
+        let demand = demand_of(now - self.memory_file.run_began_at, seen, &self.memory_file.initial_demand);
+        let memory =
+            Memory::of(now, &self.destination_waits, demand).with_outages(self.outages_to_record(now));
         let idle = memory.waits.is_empty() && memory.demand.is_empty() && memory.outages.is_empty();
-        if idle && self.memory_file.idle {
-            return self.memory_file.beat.written(now, true);
+        if idle && self.memory_file.written_empty {
+            return self.memory_file.write_schedule.written(now, true);
         }
-        self.memory_file.idle = idle;
+        self.memory_file.written_empty = idle;
         let written = FILE.write(dir, &FILE.seal(&memory.bytes()));
-        self.memory_file.beat.written(now, written.is_ok());
+        self.memory_file.write_schedule.written(now, written.is_ok());
         let failed = written.as_ref().err();
-        if let (Some(e), false) = (failed, self.memory_file.fails) {
+        if let (Some(e), false) = (failed, self.memory_file.write_failed) {
             tracing::warn!(target: "comeback", "told waits can't be written down, and hold in this life only: {e}");
         }
-        self.memory_file.fails = failed.is_some();
+        self.memory_file.write_failed = failed.is_some();
     }
 }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -3,24 +3,24 @@
 //! [`Courier::report`] takes in what happened and answers at once, [`Courier::pick`] blocks until the next order,
 //! [`Courier::tick`] moves time. The fronts see reqs, fetches and verdicts, never the module's events or actions.
 
-pub mod asked;
+mod admission;
 pub mod attempt_log;
+mod backend_lists;
 mod batches;
 mod carrying;
 pub mod draining;
-mod ending;
+mod fetch_calls;
 pub mod handover;
-mod keeping;
-mod listing;
+mod history_feed;
+mod journal_outage;
+pub mod memory;
+pub mod message_lookup;
 pub mod neighbours;
-pub mod ordering;
 mod orders;
-mod recording;
-pub mod remember;
+pub mod replay_orders;
 pub mod replaying;
 mod shared;
 mod sharing;
-mod taking;
 
 use crate::admin::figures::{Ended, Figures};
 use crate::admin::hand::Hand;
@@ -36,9 +36,9 @@
 use crossbeam_channel::Receiver;
 use draining::Draining;
 use handover::{HandoverState, Ownership};
+use memory::MemoryFile;
 use neighbours::ProbesAndNotes;
 pub use orders::*;
-use remember::Remembers;
 use replaying::Replays;
 pub use shared::Courier;
 use std::collections::{BTreeMap, HashMap, VecDeque};
@@ -123,9 +123,9 @@
     /// Until when a destination is to be left alone by answers that are not read to their end yet. The module hears of a
     /// wait with the whole answer; by then this is over or repeats it.
     destination_waits: Waits,
-    memory_file: Remembers,
+    memory_file: MemoryFile,
     /// Ended messages; `None`: they are not kept.
-    history: Option<keeping::Keeping>,
+    history: Option<history_feed::HistoryFeed>,
     /// What of them is being sent again.
     replays: Replays,
     /// Calls that the process before carries out to their end.
@@ -134,11 +134,11 @@
     /// The version of it that holds here.
     overrides_version: u64,
     figures: Figures,
-    recent_outcomes: asked::Ends,
+    recent_outcomes: message_lookup::RecentOutcomes,
     next_member_count_at: Micros,
     next_timer_at: Option<Micros>,
     stop_at: Option<Micros>,
-    journal_outage: recording::Recording,
+    journal_outage: journal_outage::JournalOutage,
 }
 
 const TICK_INTERVAL_US: u64 = 5_000;
@@ -157,11 +157,11 @@
         settings: Settings, seed: u64, now: Micros, journal: Journal, options: Options,
     ) -> (Core, Receiver<Order>) {
         let sender = Box::new(Sender::new(settings.clone(), seed));
-        Core::with(sender, &settings, seed, now, journal, options)
+        Core::with_policy(sender, &settings, seed, now, journal, options)
     }
 
     /// The same with another module.
-    pub fn with(
+    pub fn with_policy(
         sender: Box<dyn DecisionEngine>, settings: &Settings, seed: u64, now: Micros, journal: Journal,
         options: Options,
     ) -> (Core, Receiver<Order>) {
@@ -192,24 +192,24 @@
             sharing_state: sharing::FleetExchange::default(),
             mode: Ownership::Active,
             destination_waits: Waits::new(),
-            memory_file: Remembers::new(options.memory_dir),
+            memory_file: MemoryFile::new(options.memory_dir),
             history: None,
             replays: Replays::new(settings),
             predecessor_fetches: BTreeMap::new(),
             overrides: options.overrides,
             overrides_version: 0,
             figures: Figures::default(),
-            recent_outcomes: asked::Ends::new(options.record_outcomes),
+            recent_outcomes: message_lookup::RecentOutcomes::new(options.record_outcomes),
             next_member_count_at: Micros(0),
             next_timer_at: None,
             stop_at: None,
-            journal_outage: recording::Recording::default(),
+            journal_outage: journal_outage::JournalOutage::default(),
         };
-        core.take_up_history(now, options.history);
-        core.look_at_hand(now);
+        core.open_history(now, options.history);
+        core.apply_overrides(now);
         let mut passed = options.handed_over;
         passed.iter_mut().for_each(|passed| core.import_handover(passed));
-        core.recall(now, passed.is_some());
+        core.restore_memory(now, passed.is_some());
         core.resume(now, passed.as_ref());
         core.apply_due_drains(now, true);
         (core, orders)
@@ -217,7 +217,7 @@
 
     /// As [`Courier::hand_in`].
     pub fn hand_in(&mut self, now: Micros, reqs: Vec<Req>) -> Vec<Answer> {
-        self.take(now, reqs)
+        self.admit(now, reqs)
     }
 
     /// As [`Courier::answered`].
@@ -233,21 +233,21 @@
         if !self.is_active() {
             return now + Micros(TICK_INTERVAL_US);
         }
-        self.look_at_hand(now);
+        self.apply_overrides(now);
         self.exchange_with_fleet(now);
         if self.next_member_count_at <= now {
             self.next_member_count_at = now + MEMBER_COUNT_INTERVAL;
-            self.count_members();
+            self.update_member_counts();
         }
         for (front, news) in self.register.tick(now) {
-            self.listed(now, front, news, Vec::new());
+            self.apply_list_change(now, front, news, Vec::new());
         }
         if self.draining.next_at().is_some_and(|at| at <= now) {
             self.apply_due_drains(now, false);
         }
-        self.remember(now);
-        self.keep_recording(now);
-        self.hear_kept();
+        self.write_memory_if_due(now);
+        self.retry_journal(now);
+        self.release_persisted_ends();
         self.start_next_replay(now);
         if self.next_timer_at.is_some_and(|at| at <= now) {
             self.next_timer_at = None;
@@ -259,7 +259,7 @@
 
     /// When the module wants to hear of time again, if at all: an emulator need not call [`Core::tick`] before that but for
     /// the register and drains.
-    pub fn alarm_at(&self) -> Option<Micros> {
+    pub fn next_timer_at(&self) -> Option<Micros> {
         self.next_timer_at
     }
 
@@ -269,7 +269,7 @@
     }
 
     /// How many messages are owed their end.
-    pub fn owed(&self) -> usize {
+    pub fn pending_messages(&self) -> usize {
         self.messages.len()
     }
 
@@ -286,15 +286,15 @@
         }
         match what {
             Report::Req(req) => {
-                let answer = self.take(now, vec![req]).pop();
-                return answer.unwrap_or_else(|| Answer::Refused(self.stay_away()));
+                let answer = self.admit(now, vec![req]).pop();
+                return answer.unwrap_or_else(|| Answer::Refused(self.default_retry_after()));
             }
             // Danger: a client that goes before its answer takes the message of another with it, who handed in the same
             // and was told that it is taken on.
             Report::Withdrawn(msg)
                 if !self.messages.get(&msg).is_some_and(|m| m.accepted_from_other_client) =>
             {
-                self.withdrawn(now, msg)
+                self.withdraw_unanswered(now, msg)
             }
             Report::Answered(msg) | Report::Withdrawn(msg) => {
                 let held = self.messages.get_mut(&msg);
@@ -302,27 +302,27 @@
                     held.map_or((None, None), |m| (m.orders_after_answer.take(), m.waiting_batch.take()));
                 for order in parked.into_iter().flatten() {
                     match order {
-                        Order::Notice(notice) => self.tell(now, notice),
+                        Order::Notice(notice) => self.send_notice(now, notice),
                         order => self.order(order),
                     }
                 }
-                joins.into_iter().for_each(|batch| self.one_more(batch));
+                joins.into_iter().for_each(|batch| self.batch_answer_resolved(batch));
             }
-            Report::Begin(fetch) => return Answer::MayBegin(self.begin(now, &fetch)),
+            Report::Begin(fetch) => return Answer::MayBegin(self.begin_fetch(now, &fetch)),
             Report::RetryAfter { front, dest, wait } => {
-                self.heard_wait(now, front, dest, wait);
-                self.remember(now);
+                self.record_wait(now, front, dest, wait);
+                self.write_memory_if_due(now);
             }
             Report::Done { fetch, end, latency, load, reply: said } => {
-                self.done(now, vec![FinishedFetch { fetch, end, latency, load, said }]);
+                self.fetches_done(now, vec![FinishedFetch { fetch, end, latency, load, said }]);
             }
             Report::NoticeDelivered(msg) => {
                 let (ended, how) = match self.journal.owed().get(&msg).and_then(|owed| owed.verdict) {
                     Some(Verdict::HandedBack(_)) => (Ended::Rejected, How::HandedBack),
                     _ => (Ended::Failed, How::GivenUp),
                 };
-                self.finish(now, msg, ended, how, None);
-                self.lay_down();
+                self.finish_message(now, msg, ended, how, None);
+                self.queue_ended_messages();
             }
             Report::List { front, update: word } => {
                 if let Some(hand) = &self.overrides {
@@ -331,24 +331,24 @@
                 // Discovery has answered, if only that nothing has changed: the module hears that too.
                 let answered = (word.source == Source::Discovery).then(|| Event::ListChange(Vec::new()));
                 let news = self.register.front_mut(front, now).apply_update(now, word);
-                self.listed(now, front, news, answered.into_iter().collect());
+                self.apply_list_change(now, front, news, answered.into_iter().collect());
             }
             Report::ListUnchanged(front) => {
                 let news = self.register.front_mut(front, now).heartbeat(now);
                 if news != RegistryEffects::default() {
-                    self.listed(now, front, news, Vec::new());
+                    self.apply_list_change(now, front, news, Vec::new());
                 }
             }
             Report::ListFailed(front) => {
                 let news = self.register.front_mut(front, now).watch_failed(now);
-                self.listed(now, front, news, vec![Event::ListFailed]);
+                self.apply_list_change(now, front, news, vec![Event::ListFailed]);
             }
         }
         Answer::Acknowledged
     }
 }
 
-fn message(id: u64, req: &Req) -> Message {
+fn policy_message(id: u64, req: &Req) -> Message {
     Message {
         id: MessageId(id),
         destination: DestinationId(req.dest),
@@ -359,7 +359,9 @@
     }
 }
 
-fn returned(fetch: &Fetch, outcome: Outcome, terminal: bool, latency: Micros, report: Vec<f32>) -> Event {
+fn returned_event(
+    fetch: &Fetch, outcome: Outcome, terminal: bool, latency: Micros, report: Vec<f32>,
+) -> Event {
     let (id, endpoint, attempt) = (MessageId(fetch.msg), fetch.endpoint, fetch.attempt);
     Event::Returned { id, endpoint, outcome, terminal, latency, attempt, report }
 }
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -95,7 +95,7 @@
         if !self.is_active() {
             return false;
         }
-        self.look_at_hand(now);
+        self.apply_overrides(now);
         let listed =
             self.register.front(PLATFORM_FRONT).is_some_and(|b| b.accepts_calls(&probe.backend.name));
         let unchanged = self.backends.get(&probe.endpoint).is_some_and(|b| *b == probe.backend);
@@ -121,9 +121,9 @@
         if let Outcome::Refused(Some(wait)) = outcome {
             // The decision module ignores the wait in the outcome of a probe. Without being told here it would keep
             // ordering calls that are stopped just before their first byte, until their messages had no attempt left.
-            self.heard_wait(now, PLATFORM_FRONT, probe.dest, wait);
+            self.record_wait(now, PLATFORM_FRONT, probe.dest, wait);
             self.policy.restore_wait(DestinationId(probe.dest), now + wait);
-            self.remember(now);
+            self.write_memory_if_due(now);
         }
         self.process_probe_result(now, event);
     }
--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -2,7 +2,7 @@
 //! a slot is free, and if it can't go at once it is taken out again, so it never competes. It has one call; it is claimed in the
 //! history just before the first byte, and the claim is closed once the call is over. The journal never hears of it.
 
-use super::{message, returned, Core, End, FinishedFetch, PendingMessage, Req};
+use super::{policy_message, returned_event, Core, End, FinishedFetch, PendingMessage, Req};
 use crate::api::{Class, DedupGroup, Effect, Event, MessageId, Micros, Outcome, Settings};
 use crate::history::keeper::Keeper;
 use crate::history::reading::World;
@@ -115,7 +115,7 @@
 impl Core {
     /// Lets the next one in, if it is time for it.
     pub(super) fn start_next_replay(&mut self, now: Micros) {
-        self.follow_orders(now);
+        self.update_replay_orders(now);
         if self.replays.runs.is_empty() && self.replays.ones.is_empty() {
             return;
         }
@@ -230,7 +230,7 @@
                 // Where not all of them remember the key the module must know which do. It then counts as a repeat, of which
                 // the module sends few where little else is sent.
                 if group != DedupGroup::All && !kept.first.1.is_empty() {
-                    risk = Some((begun, self.intern(kept.front, &kept.first.1)));
+                    risk = Some((begun, self.endpoint_id(kept.front, &kept.first.1)));
                 }
             }
         }
@@ -263,7 +263,7 @@
         };
         self.messages.insert(msg, held);
         self.replays.ones.insert(msg, One { order: id, number, claimed: false, passed: false });
-        let message = message(msg, &req);
+        let message = policy_message(msg, &req);
         let event = match risk {
             Some(_) => Event::Resumed { message, attempts: 1, first_uncertain: risk },
             None => Event::Demand(message),
@@ -280,7 +280,7 @@
 
     /// It could not go at once, or not any more: it leaves the module.
     fn withdraw(&mut self, now: Micros, msg: u64) {
-        let mut events: Vec<Event> = self.leave_line(msg).into_iter().collect();
+        let mut events: Vec<Event> = self.leave_waiting_line(msg).into_iter().collect();
         events.push(Event::Withdrawn(MessageId(msg)));
         self.settle(now, msg, None);
         self.feed(now, &events, &mut []);
@@ -324,15 +324,15 @@
             End::Unsent | End::NotBegun | End::Over | End::Rejected => Outcome::NotSent,
         };
         if let End::TurnedAway(Some(wait)) | End::Spoilt(Some(wait)) = end {
-            self.heard_wait(now, fetch.req.front, fetch.req.dest, wait);
+            self.record_wait(now, fetch.req.front, fetch.req.dest, wait);
         }
         if matches!(end, End::TurnedAway(_)) {
             self.replays.quiet_until = self.replays.quiet_until.max(now + AWAY);
         }
         let mut more = Vec::new();
-        self.trust(now, &fetch, end.for_trust(), &mut more);
+        self.record_call_end(now, &fetch, end.for_trust(), &mut more);
         let terminal = matches!(end, End::Delivered | End::Over | End::Rejected);
-        events.push(returned(&fetch, outcome, terminal, latency, load));
+        events.push(returned_event(&fetch, outcome, terminal, latency, load));
         events.push(Event::Withdrawn(MessageId(fetch.msg)));
         events.append(&mut more);
         self.settle(now, fetch.msg, Some(end));
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -113,7 +113,7 @@
                 let fetches = std::mem::take(&mut *finished);
                 self.finished_count.store(0, Ordering::SeqCst);
                 drop(finished);
-                state.done(self.clock.now(), fetches);
+                state.fetches_done(self.clock.now(), fetches);
             }
             self.board.publish(state.figures());
             drop(state);
@@ -173,7 +173,7 @@
     /// and one round of the decision module decides on them, in their order.
     pub fn hand_in(&self, reqs: Vec<Req>) -> Vec<Answer> {
         let now = self.clock.now();
-        self.state().take(now, reqs)
+        self.state().admit(now, reqs)
     }
 
     /// Reports for each message whether the answer that accepted it could be written.
@@ -198,7 +198,7 @@
 
     /// Number of messages that are still pending.
     pub fn owed(&self) -> usize {
-        self.state().owed()
+        self.state().pending_messages()
     }
 
     /// Number of known backends, including those that were removed recently.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -8,7 +8,7 @@
 use crate::clock::anchor;
 use crate::config::{Addresses, Config, Paths};
 use crate::control::{self, shape::Words};
-use crate::core::{draining, remember as memory, Courier, ListUpdate, Options, Report, Source};
+use crate::core::{draining, memory, Courier, ListUpdate, Options, Report, Source};
 use crate::history;
 use crate::net::ask::{Asker, Setup};
 use crate::net::peers::riders;
@@ -98,7 +98,13 @@
     let in_state = |e: &dyn std::fmt::Display| format!("NODE_STATE: {}: {e}", state.display());
     let for_hand = if door_at.is_some() { hand::ROOM } else { 0 };
     let for_history = history.as_ref().map_or(0, |h| h.disk);
-    let others = zones + for_copy + for_drains + for_hand + owner::ROOM + memory::ROOM + anchor::DISK_BYTES;
+    let others = zones
+        + for_copy
+        + for_drains
+        + for_hand
+        + owner::ROOM
+        + memory::MAX_FOLDER_BYTES
+        + anchor::DISK_BYTES;
     let room = disk.saturating_sub(others + for_history);
     if for_history > 0 && room < JOURNAL_LEAST {
         return Err(format!(
@@ -150,10 +156,10 @@
     let may_tell = settings.limits.gossip;
     let courier = Arc::new(Courier::new(settings, config.seed, clock, journal, options));
     let fail = |e: std::io::Error| format!("starting: {e}");
-    if courier.history(|_, _| ()).is_some() {
+    if courier.with_history(|_, _| ()).is_some() {
         let shared = courier.clone();
         let keeps = move || {
-            while shared.keep() {
+            while shared.persist_history() {
                 thread::sleep(KEEP);
             }
         };
@@ -361,7 +367,12 @@
             // After an error the next round does it.
             let _ = anchor.write();
             if let Some(keeper) = &mut keeper {
-                let others = zones + for_drains + for_hand + memory::ROOM + anchor::DISK_BYTES + for_history;
+                let others = zones
+                    + for_drains
+                    + for_hand
+                    + memory::MAX_FOLDER_BYTES
+                    + anchor::DISK_BYTES
+                    + for_history;
                 keep_list(&courier, keeper, disk.saturating_sub(others));
             }
             if let Some(word) =
--- a/src/net/ask/kinds/held.rs
+++ b/src/net/ask/kinds/held.rs
@@ -5,7 +5,7 @@
 use crate::api::Micros;
 use crate::ask::Kind;
 use crate::control::shape::Words;
-use crate::core::asked;
+use crate::core::message_lookup;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, PoisonError};
@@ -20,11 +20,11 @@
     last: Mutex<Option<(Micros, Piece)>>,
 }
 
-fn count(held: &[asked::Held], words: &Words) -> Piece {
+fn count(held: &[message_lookup::HeldMessage], words: &Words) -> Piece {
     let (mut at, mut class, mut tenant) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     let mut dest: BTreeMap<u16, u64> = BTreeMap::new();
     for one in held {
-        *at.entry(one.at.word()).or_insert(0u64) += 1;
+        *at.entry(one.state.label()).or_insert(0u64) += 1;
         *class.entry(name(&words.classes, one.class)).or_insert(0u64) += 1;
         *tenant.entry(name(&words.tenants, one.tenant)).or_insert(0u64) += 1;
         *dest.entry(one.dest).or_insert(0) += 1;
@@ -61,7 +61,7 @@
             return Ok(vec![piece.clone()]);
         }
         // The core's lock is held for the copy alone; it is counted afterwards.
-        let piece = count(&here.courier.held().ok_or(ELSEWHERE)?, &here.words);
+        let piece = count(&here.courier.held_messages().ok_or(ELSEWHERE)?, &here.words);
         *last = Some((now, piece.clone()));
         Ok(vec![piece])
     }
@@ -73,9 +73,10 @@
 
     #[test]
     fn all_is_counted_once_by_each_mark_and_many_destinations_are_summed_up() {
-        let held = |dest, tenant, at| asked::Held { dest, class: 0, tenant, at };
-        let mut all: Vec<_> = (0..300).map(|dest| held(dest, 0, asked::At::Waiting)).collect();
-        all.push(held(299, 1, asked::At::Out));
+        let held = |dest, tenant, at| message_lookup::HeldMessage { dest, class: 0, tenant, state: at };
+        let mut all: Vec<_> =
+            (0..300).map(|dest| held(dest, 0, message_lookup::HeldState::Waiting)).collect();
+        all.push(held(299, 1, message_lookup::HeldState::InFlight));
         let words = Words { classes: vec!["order".into()], tenants: vec!["t".into()] };
         let piece = count(&all, &words);
         assert_eq!((piece.figure, piece.settles), (301, false));
--- a/src/net/ask/kinds/mod.rs
+++ b/src/net/ask/kinds/mod.rs
@@ -38,7 +38,7 @@
     /// Looks into the history; `None`: there is none. The error says that its file is at work: what else is asked must not wait
     /// behind one that hangs.
     fn history<T>(&self, by: impl FnOnce(&mut Keeper, Micros) -> T) -> Result<Option<T>, String> {
-        let said = self.courier.history_by(Instant::now() + PATIENCE, by);
+        let said = self.courier.with_history_until(Instant::now() + PATIENCE, by);
         said.map_err(|_| "busy: this courier's history is at work, ask again".to_owned())
     }
 
--- a/src/net/ask/kinds/place.rs
+++ b/src/net/ask/kinds/place.rs
@@ -4,7 +4,7 @@
 use crate::admin::figures::Ended;
 use crate::ask::Kind;
 use crate::control::shape::Words;
-use crate::core::asked;
+use crate::core::message_lookup;
 use serde_json::{json, Value};
 
 /// The longest id.
@@ -16,18 +16,20 @@
     list.get(usize::from(place)).filter(|n| !n.is_empty()).cloned().unwrap_or_else(|| format!("#{place}"))
 }
 
-fn say(place: &asked::Place, words: &Words) -> Value {
+fn say(place: &message_lookup::MessageLocation, words: &Words) -> Value {
     match place {
-        asked::Place::Held { held, tries, due, backend } => json!({
-            "state": held.at.word(),
-            "dest": held.dest,
-            "class": name(&words.classes, held.class),
-            "tenant": name(&words.tenants, held.tenant),
-            "tries": tries,
-            "due_ms": due.0 / 1_000,
-            "backend": backend,
-        }),
-        asked::Place::Ended { how, at } => {
+        message_lookup::MessageLocation::Held { message: held, attempts: tries, deadline: due, backend } => {
+            json!({
+                "state": held.state.label(),
+                "dest": held.dest,
+                "class": name(&words.classes, held.class),
+                "tenant": name(&words.tenants, held.tenant),
+                "tries": tries,
+                "due_ms": due.0 / 1_000,
+                "backend": backend,
+            })
+        }
+        message_lookup::MessageLocation::Ended { how, at } => {
             let how = match how {
                 Ended::Completed => "delivered",
                 Ended::Rejected => "handed_back",
@@ -35,8 +37,10 @@
             };
             json!({"state": "ended", "how": how, "at_ms": at.0 / 1_000})
         }
-        asked::Place::Recognised => json!({"state": "ended", "how": "not_known; it may have taken effect"}),
-        asked::Place::Unknown => json!({"state": "unknown"}),
+        message_lookup::MessageLocation::KnownDuplicate => {
+            json!({"state": "ended", "how": "not_known; it may have taken effect"})
+        }
+        message_lookup::MessageLocation::Unknown => json!({"state": "unknown"}),
     }
 }
 
@@ -55,8 +59,8 @@
     }
 
     fn answer(&self, here: &Here, subject: &str) -> Result<Vec<Piece>, String> {
-        let place = here.courier.place(subject).ok_or(ELSEWHERE)?;
-        let found = place != asked::Place::Unknown;
+        let place = here.courier.locate_message(subject).ok_or(ELSEWHERE)?;
+        let found = place != message_lookup::MessageLocation::Unknown;
         let body = say(&place, &here.words);
         Ok(vec![Piece { figure: u64::from(found), settles: found, body }])
     }
--- a/src/net/peers/riders.rs
+++ b/src/net/peers/riders.rs
@@ -48,7 +48,7 @@
         let board = courier.board.clone();
         all.push(Box::new(AskRider::new(learnt, move || board.read().pending)));
     }
-    if courier.history(|_, _| ()).is_some() {
+    if courier.with_history(|_, _| ()).is_some() {
         // Danger: in this order. What an order says of lines is read after who was heard is known.
         all.push(Box::new(Retention::new(courier.clone(), place.me)));
         all.push(Box::new(Replaying::new(courier.clone(), place.me)));
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -136,7 +136,7 @@
             }
             let mut state = state;
             // Danger: what the journal has in memory only would be lost to the other process.
-            if !courier.recorded() {
+            if !courier.journal_written() {
                 state.hear(Heard::Settled(false));
                 let why = Frame::No("its journal can't be written".into());
                 // An error says that it is gone.
--- a/tests/history_backlog.rs
+++ b/tests/history_backlog.rs
@@ -30,7 +30,7 @@
     parse(POLICY.as_bytes(), &[], &[]).unwrap()
 }
 
-/// A life of a courier on a folder; nobody puts away what ends but [`Courier::keep`].
+/// A life of a courier on a folder; nobody puts away what ends but [`Courier::persist_history`].
 fn life(folder: &Folder, budget: u64, number: u64) -> Arc<Courier> {
     let clock = Clock::start();
     let journal = Journal::open(&folder.0, budget, clock.now()).unwrap();
@@ -91,7 +91,7 @@
 }
 
 fn kept(courier: &Courier) -> BTreeSet<String> {
-    let shown = courier.history(|keeper, now| {
+    let shown = courier.with_history(|keeper, now| {
         let (history, hearing) = keeper.both().unwrap();
         history.shown(now, hearing, ALL, (Micros(0), Micros(u64::MAX)), usize::MAX).unwrap().unwrap()
     });
@@ -99,7 +99,7 @@
 }
 
 fn unwritten(courier: &Courier) -> u64 {
-    courier.history(|keeper, _| keeper.counts().unwritten).unwrap()
+    courier.with_history(|keeper, _| keeper.counts().unwritten).unwrap()
 }
 
 #[test]
@@ -117,14 +117,14 @@
     // An eighth of the journal's budget, some 1,000 bytes each.
     assert!((1_400..1_500).contains(&lost), "{lost} of 1,600 gave way");
     assert!(kept(&courier).is_empty());
-    courier.keep();
+    courier.persist_history();
     courier.tick();
     let all = kept(&courier);
     assert_eq!(all.len() as u64, 1_600 - lost);
     assert!(all.is_subset(&ended) && all.contains("m0-0"), "the newest give way");
     // It goes on, and the journal has let go.
     ended.extend(eight(&courier, 200, 500));
-    courier.keep();
+    courier.persist_history();
     courier.tick();
     assert_eq!((kept(&courier).len() as u64, unwritten(&courier)), (1_608 - lost, lost));
     eight(&courier, 201, 500);
@@ -141,7 +141,7 @@
         for round in 0..6 {
             ended.extend(eight(&courier, number as usize * 10 + round, 500));
             if round % 3 == number as usize % 3 {
-                courier.keep();
+                courier.persist_history();
             }
         }
         // Danger: a clean end would do what a kill does not.
@@ -149,7 +149,7 @@
     }
     let courier = life(&folder, 8 << 20, 5);
     assert_eq!((kept(&courier), unwritten(&courier)), (ended, 0));
-    courier.keep();
+    courier.persist_history();
     courier.tick();
     assert!(on_disk(&folder) < 20_000, "nothing waits any more");
 }
@@ -159,9 +159,9 @@
     let folder = Folder::new();
     let courier = life(&folder, 8 << 20, 1);
     eight(&courier, 0, 500);
-    courier.keep();
+    courier.persist_history();
     eight(&courier, 1, 500);
-    courier.history(|keeper, now| {
+    courier.with_history(|keeper, now| {
         let entry = keeper.history().unwrap().book().forgetting(ALL, now + Micros(1), false).unwrap();
         assert!(keeper.apply(now, &[(ALL, entry)]));
     });
@@ -170,7 +170,7 @@
     std::mem::forget(courier);
     let courier = life(&folder, 8 << 20, 2);
     assert_eq!(kept(&courier), later.into_iter().collect());
-    courier.keep();
+    courier.persist_history();
     assert_eq!(kept(&courier).len(), 8);
 }
 
@@ -179,7 +179,7 @@
     let folder = Folder::new();
     let courier = life(&folder, 8 << 20, 1);
     eight(&courier, 0, 500);
-    courier.keep();
+    courier.persist_history();
     eight(&courier, 1, 500);
     std::mem::forget(courier);
     std::fs::remove_file(folder.0.join("history.redb")).unwrap();
@@ -200,7 +200,7 @@
     let (go_on, until) = channel::<()>();
     let hung = courier.clone();
     let hung = thread::spawn(move || {
-        hung.history(|_, _| {
+        hung.with_history(|_, _| {
             held.send(()).unwrap();
             until.recv().unwrap();
         })
@@ -215,15 +215,18 @@
     }
     courier.tick();
     assert!(!courier.with(&mut |_| panic!("it is held")), "whoever can come again does");
-    assert!(courier.history_by(Instant::now(), |_, _| ()).is_err(), "whoever answers by a moment says so");
+    assert!(
+        courier.with_history_until(Instant::now(), |_, _| ()).is_err(),
+        "whoever answers by a moment says so"
+    );
     let plan = courier.clone();
-    let waits = thread::spawn(move || plan.keep());
+    let waits = thread::spawn(move || plan.persist_history());
     go_on.send(()).unwrap();
     hung.join().unwrap();
     assert!(waits.join().unwrap());
     let order = gives.join().unwrap().expect("it waited for the file, and held nobody up").given.order.id();
     courier.tick();
-    assert_eq!(courier.replays().into_iter().map(|o| o.given.order.id()).collect::<Vec<_>>(), [order]);
+    assert_eq!(courier.replay_orders().into_iter().map(|o| o.given.order.id()).collect::<Vec<_>>(), [order]);
     assert_eq!((kept(&courier), unwritten(&courier)), (ended, 0));
 }
 
--- a/tests/history_ends.rs
+++ b/tests/history_ends.rs
@@ -185,12 +185,12 @@
         }));
         assert_eq!(courier.report(Report::Begin(last.clone())), Answer::MayBegin(true));
         if round == 2 {
-            courier.keep();
+            courier.persist_history();
         }
         over(&courier, last, End::Over);
         let Order::Notice(notice) = courier.next_order() else { panic!("a notice is owed") };
         courier.report(Report::NoticeDelivered(notice.msg));
-        courier.keep();
+        courier.persist_history();
         courier.tick();
     }
     assert_eq!(courier.owed(), 0);
--- a/tests/measure_history.rs
+++ b/tests/measure_history.rs
@@ -65,10 +65,10 @@
     let (keeping, stop) = (courier.clone(), over.clone());
     let writer = kept.then(|| {
         std::thread::spawn(move || {
-            while !stop.load(Ordering::SeqCst) && keeping.keep() {
+            while !stop.load(Ordering::SeqCst) && keeping.persist_history() {
                 std::thread::sleep(Duration::from_millis(20));
             }
-            keeping.keep();
+            keeping.persist_history();
             // Who has ended is not counted.
             while stop.load(Ordering::SeqCst) {
                 std::thread::sleep(Duration::from_millis(1));
@@ -113,7 +113,7 @@
             let counts = keeper.counts();
             (keeper.history().unwrap().len() as u64 + counts.dropped + counts.unwritten, counts.unwritten)
         };
-        let kept = || courier.history(|keeper, _| done(keeper)).unwrap();
+        let kept = || courier.with_history(|keeper, _| done(keeper)).unwrap();
         while kept().0 < many as u64 {
             std::thread::sleep(Duration::from_millis(5));
         }
--- a/tests/recording.rs
+++ b/tests/recording.rs
@@ -122,7 +122,7 @@
     assert_eq!(fetch.msg, msg, "what was taken on is still owed");
     assert_eq!(life.core.report(life.now, Report::Begin(fetch)), Answer::MayBegin(true));
     assert!(matches!(life.take("third", 1), Answer::Taken(_)));
-    assert_eq!(life.core.owed(), 2);
+    assert_eq!(life.core.pending_messages(), 2);
 }
 
 #[test]
