--- a/src/policy/earlier_outages.rs
+++ b/src/policy/earlier_outages.rs
@@ -20,13 +20,13 @@
     /// Notes an outage that an earlier process run found; it applies once the endpoint is listed. `per_s` is
     /// the demand for the endpoint's destination then, which determines this sender's part of the slow start
     /// rate.
-    pub(crate) fn was_out(&mut self, id: EndpointId, outage: Outage, per_s: f64) {
+    pub(crate) fn record_earlier_outage(&mut self, id: EndpointId, outage: Outage, per_s: f64) {
         self.earlier_outages.insert(id, (outage, per_s));
     }
 
     /// Applies an outage that an earlier process run found. A process that knew nothing of the outage would
     /// send the whole backlog at once, and so would all others that were killed together with it.
-    pub(super) fn restore_outage(&mut self, now: Micros, id: EndpointId) {
+    pub(super) fn apply_earlier_outage(&mut self, now: Micros, id: EndpointId) {
         let Some((outage, per_s)) = self.earlier_outages.remove(&id) else { return };
         let Some(route_id) = self.endpoints.get(&id).map(|e| e.route) else { return };
         self.routes.entry(route_id).or_default().recent_outage_until = now + OUTAGE_MEMORY;
--- a/src/policy/endpoint_list.rs
+++ b/src/policy/endpoint_list.rs
@@ -97,7 +97,7 @@
             }
             (endpoint.route, endpoint.zone, endpoint.kind) = (id, entry.zone, entry.kind);
             (endpoint.rank, endpoint.listed) = (entry.rank, entry.state);
-            self.restore_outage(now, entry.endpoint);
+            self.apply_earlier_outage(now, entry.endpoint);
         }
         self.drop_gone_endpoints(now);
     }
--- a/src/sender_handover.rs
+++ b/src/sender_handover.rs
@@ -126,7 +126,7 @@
     }
 
     fn restore_outage(&mut self, id: EndpointId, outage: Outage, per_s: f64) {
-        Sender::was_out(self, id, outage, per_s);
+        Sender::record_earlier_outage(self, id, outage, per_s);
     }
 
     fn is_ejected(&self, id: EndpointId) -> bool {
--- a/tests/full_tables.rs
+++ b/tests/full_tables.rs
@@ -1,5 +1,5 @@
-//! Endpoints that hold few connections, and many senders with little traffic each: who keeps an idle connection takes a
-//! place from another.
+//! Endpoints that accept few connections, and many senders with little traffic each: an idle connection of
+//! one sender takes a place in the connection table from another.
 
 mod common;
 use common::*;
@@ -8,40 +8,41 @@
 
 const SENDERS: usize = 40;
 const DESTINATIONS: usize = 3;
-const PLACES: usize = 13;
-const SERVICE: u64 = 150_000;
-/// The sockets close what has been idle for so long.
-const IDLE: u64 = 12 * S;
+const MAX_CONNECTIONS: usize = 13;
+const SERVICE_MICROS: u64 = 150_000;
+/// Sockets are closed after this idle time.
+const IDLE_TIMEOUT_MICROS: u64 = 12 * S;
 
-/// Endpoints, one for each destination, each of which takes far more than it is sent, over so many
-/// connections. What it turns away for want of a place
-/// says nothing of its limit.
+/// Connection tables of endpoints, one for each destination. Each endpoint has a rate limit far above what it
+/// is sent, but accepts only `MAX_CONNECTIONS` connections. A refusal for want of a connection says nothing
+/// about its rate limit.
 #[derive(Default)]
-struct Table {
-    /// By destination and sender.
+struct ConnectionTables {
+    /// Since when connections have been idle, by destination and sender.
     idle: BTreeMap<(usize, usize), Vec<u64>>,
-    open: [usize; DESTINATIONS],
+    in_use: [usize; DESTINATIONS],
     refused: usize,
 }
 
-impl Table {
-    fn taken(&self, now: u64, to: usize) -> usize {
+impl ConnectionTables {
+    fn open_connections(&self, now: u64, to: usize) -> usize {
         let idle = self.idle.range((to, 0)..(to + 1, 0)).flat_map(|(_, all)| all);
-        self.open[to] + idle.filter(|since| **since + IDLE > now).count()
+        self.in_use[to] + idle.filter(|since| **since + IDLE_TIMEOUT_MICROS > now).count()
     }
 
-    /// Whether the call is taken: over the sender's idle connection, or over a new one if there is a place.
+    /// Whether the call is accepted: over the sender's idle connection, or over a new one if the table has
+    /// room.
     fn call(&mut self, now: u64, to: usize, from: usize) -> bool {
         let idle = self.idle.entry((to, from)).or_default();
-        idle.retain(|since| *since + IDLE > now);
-        let taken = idle.pop().is_some() || self.taken(now, to) < PLACES;
-        self.open[to] += usize::from(taken);
+        idle.retain(|since| *since + IDLE_TIMEOUT_MICROS > now);
+        let taken = idle.pop().is_some() || self.open_connections(now, to) < MAX_CONNECTIONS;
+        self.in_use[to] += usize::from(taken);
         self.refused += usize::from(!taken);
         taken
     }
 }
 
-fn let_go(actions: &[Action]) -> Vec<EndpointId> {
+fn closed_endpoints(actions: &[Action]) -> Vec<EndpointId> {
     let of = |a: &Action| match a {
         Action::CloseIdleConnections(endpoint) => Some(*endpoint),
         _ => None,
@@ -49,10 +50,10 @@
     actions.iter().filter_map(of).collect()
 }
 
-/// Guards against a fleet whose idle connections shut itself out: each refusal was taken for the limit's, the pace fell, and
-/// a destination that takes three times the demand was held to be out.
+/// Guards against a fleet that excludes itself by idle connections: each refusal was taken for one by the
+/// rate limit, the send rate fell, and a destination that accepts three times the demand counted as out.
 #[test]
-fn idle_connections_give_way_where_places_are_few() {
+fn idle_connections_are_closed_where_connection_tables_are_small() {
     let mut set = settings();
     set.senders = SENDERS as u32;
     set.classes[0].aim = Micros(5 * S / 2);
@@ -60,15 +61,15 @@
     let list: Vec<Entry> = (0..DESTINATIONS as u16).map(|to| entry(to as u8, to)).collect();
     let seeded = |seed| SenderHarness::seeded(set.clone(), list.clone(), seed);
     let mut fleet: Vec<SenderHarness> = (0..SENDERS as u64).map(seeded).collect();
-    let (start, mut table) = (fleet[0].now, Table::default());
+    let (start, mut table) = (fleet[0].now, ConnectionTables::default());
     let (mut handed_in, mut in_time, mut given_in) = (0, 0, BTreeMap::new());
-    // When it ends, whose it is, which message, and whether it was taken.
+    // Calls in flight: when each ends, its sender, its message, and whether it was accepted.
     let mut out: Vec<(u64, usize, u64, bool)> = vec![];
     for step in 0..40_000u64 / 5 {
         let now = start + step * 5_000;
         let mut done: Vec<(usize, Vec<Action>)> = vec![];
-        for (n, b) in fleet.iter_mut().enumerate() {
-            done.push((n, b.wait(now.saturating_sub(b.now))));
+        for (n, harness) in fleet.iter_mut().enumerate() {
+            done.push((n, harness.wait(now.saturating_sub(harness.now))));
         }
         // 24 messages a second, 0.6 from each sender.
         if step * 24 / 200 != (step + 1) * 24 / 200 {
@@ -86,19 +87,19 @@
             };
             if taken {
                 let to = id as usize % DESTINATIONS;
-                table.open[to] -= 1;
+                table.in_use[to] -= 1;
                 table.idle.entry((to, n)).or_default().push(now);
                 in_time += usize::from(now < given_in[&id] + 5 * S / 2);
             }
             done.push((n, fleet[n].returns_with_report(id, outcome, report)));
         }
         for (n, actions) in done {
-            for endpoint in let_go(&actions) {
+            for endpoint in closed_endpoints(&actions) {
                 table.idle.remove(&(endpoint.addr[3].into(), n));
             }
             for id in attempted_ids(&actions) {
                 let taken = table.call(now, id as usize % DESTINATIONS, n);
-                out.push((now + if taken { SERVICE } else { 40_000 }, n, id, taken));
+                out.push((now + if taken { SERVICE_MICROS } else { 40_000 }, n, id, taken));
             }
         }
     }
@@ -107,28 +108,28 @@
     assert!(table.refused * 5 < handed_in, "{} refused", table.refused);
 }
 
-/// A refusal by the limit itself shortens nothing: the idle connection stays, as it did before.
+/// A refusal by the rate limit itself does not shorten the idle timeout: the idle connection stays open.
 #[test]
 fn a_refusal_by_the_limit_closes_no_idle_connection() {
-    let lets_go = |report: Vec<f32>| {
+    let closes_idle_connection = |report: Vec<f32>| {
         let mut set = settings();
         (set.report_left, set.report_limit) = (Some(0), Some(1));
-        let mut b = SenderHarness::new(set, vec![entry(1, 7)]);
+        let mut harness = SenderHarness::new(set, vec![entry(1, 7)]);
         for id in 0..3 {
-            b.demand(id, 7, 0);
-            b.returns_with_report(id, Outcome::Refused(None), report.clone());
-            b.wait(20 * S);
-            b.returns_with_report(id, Outcome::Ok, vec![0.9, 70.0]);
-            b.wait(20 * S);
+            harness.demand(id, 7, 0);
+            harness.returns_with_report(id, Outcome::Refused(None), report.clone());
+            harness.wait(20 * S);
+            harness.returns_with_report(id, Outcome::Ok, vec![0.9, 70.0]);
+            harness.wait(20 * S);
         }
-        // Three messages in three seconds: a connection trusted for five of them stays open.
+        // Three messages in three seconds: with an idle timeout of five seconds the connection stays open.
         (10..13).any(|id| {
-            b.demand(id, 7, 0);
-            b.wait(S);
-            let goes = let_go(&b.returns_with_report(id, Outcome::Ok, vec![0.9, 70.0]));
-            id > 10 && !goes.is_empty()
+            harness.demand(id, 7, 0);
+            harness.wait(S);
+            let closed = closed_endpoints(&harness.returns_with_report(id, Outcome::Ok, vec![0.9, 70.0]));
+            id > 10 && !closed.is_empty()
         })
     };
-    assert!(lets_go(vec![]), "no word of the limit: the table is full");
-    assert!(!lets_go(vec![0.0, 70.0]), "the limit is used up");
+    assert!(closes_idle_connection(vec![]), "no report about the limit: the table is full");
+    assert!(!closes_idle_connection(vec![0.0, 70.0]), "the limit is used up");
 }
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,113 +1,122 @@
-//! What the module does with messages taken up from an earlier life, and what it says just before a first byte.
+//! What the sender does with messages resumed from an earlier process run, and whether a call may begin just
+//! before its first byte.
 
 mod common;
 use common::*;
 use indigohold::*;
 
-fn resumed(b: &SenderHarness, id: u64, class: u16, tries: u32, risk: Option<(u64, u8)>, due: u64) -> Event {
-    let Event::Demand(message) = b.message(id, 7, class, None) else { unreachable!() };
-    let risk = risk.map(|(at, n)| (Micros(at), endpoint(n)));
-    Event::Resumed {
-        message: Message { due: Micros(due), ..message },
-        attempts: tries,
-        first_uncertain: risk,
-    }
+fn resumed(
+    harness: &SenderHarness, id: u64, class: u16, attempts: u32, may_have_run: Option<(u64, u8)>, due: u64,
+) -> Event {
+    let Event::Demand(message) = harness.message(id, 7, class, None) else { unreachable!() };
+    let first_uncertain = may_have_run.map(|(at, n)| (Micros(at), endpoint(n)));
+    Event::Resumed { message: Message { due: Micros(due), ..message }, attempts, first_uncertain }
 }
 
-/// Guards against a repeat outside of the key's window because the window began anew with the process.
+/// Guards against a repeat outside the key's window because the window started again with the process.
 #[test]
-fn a_keyed_message_keeps_its_window_over_lives() {
-    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
-    b.now = 100 * S;
-    let due = b.now + 20 * S;
-    let inside = resumed(&b, 1, 1, 1, Some((b.now - 5 * S, 1)), due);
-    let outside = resumed(&b, 2, 1, 1, Some((b.now - 13 * S, 1)), due);
-    let done = b.feed(vec![inside, outside]);
+fn a_keyed_message_keeps_its_window_across_restarts() {
+    let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
+    harness.now = 100 * S;
+    let due = harness.now + 20 * S;
+    let inside = resumed(&harness, 1, 1, 1, Some((harness.now - 5 * S, 1)), due);
+    let outside = resumed(&harness, 2, 1, 1, Some((harness.now - 13 * S, 1)), due);
+    let done = harness.feed(vec![inside, outside]);
     assert_eq!(attempted_ids(&done), [1]);
     assert!(done.contains(&Action::Fail(MessageId(2))), "it may have run, and its window is over");
 }
 
 #[test]
-fn attempts_count_over_lives() {
-    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
-    let last = resumed(&b, 1, 0, 7, None, b.now + 20 * S);
-    assert_eq!(attempted_ids(&b.feed(vec![last])), [1]);
-    b.in_flight[0].number = 7;
-    assert_eq!(answered_ids(&b.returns(1, Outcome::Refused(None))), [1], "that was the eighth");
+fn attempts_are_counted_across_restarts() {
+    let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
+    let last = resumed(&harness, 1, 0, 7, None, harness.now + 20 * S);
+    assert_eq!(attempted_ids(&harness.feed(vec![last])), [1]);
+    harness.in_flight[0].number = 7;
+    assert_eq!(answered_ids(&harness.returns(1, Outcome::Refused(None))), [1], "that was the eighth");
 }
 
 #[test]
-fn what_is_overdue_is_answered_at_once_and_not_sent() {
-    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
-    b.now = 100 * S;
-    let due = b.now - S;
-    let (fresh, ran) = (resumed(&b, 1, 1, 0, None, due), resumed(&b, 2, 2, 1, Some((b.now - 2 * S, 1)), due));
-    let done = b.feed(vec![fresh, ran]);
+fn an_overdue_resumed_message_is_answered_at_once_and_not_sent() {
+    let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
+    harness.now = 100 * S;
+    let due = harness.now - S;
+    let (fresh, ran) = (
+        resumed(&harness, 1, 1, 0, None, due),
+        resumed(&harness, 2, 2, 1, Some((harness.now - 2 * S, 1)), due),
+    );
+    let done = harness.feed(vec![fresh, ran]);
     assert_eq!(answered_ids(&done), [1, 2]);
     assert!(attempted_ids(&done).is_empty());
     assert!(done.contains(&Action::Fail(MessageId(2))));
 }
 
-/// Guards against a first byte to a backend that began to drain, or told a wait, while its connection came up.
+/// Guards against a first byte to a backend that began to drain, or asked for a wait, while its connection
+/// was opened.
 #[test]
-fn a_call_may_not_begin_against_a_drain_or_a_wait() {
-    let mut b = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 8)]);
-    let ask = |b: &SenderHarness, n| b.sender.may_begin(Micros(b.now), MessageId(99), endpoint(n));
-    assert!(ask(&b, 1) && ask(&b, 2) && !ask(&b, 3));
-    b.feed(vec![Event::ListChange(vec![Entry { state: ListingState::Draining, ..entry(1, 7) }])]);
-    assert!(!ask(&b, 1) && ask(&b, 2));
-    b.demand(1, 8, 0);
-    b.returns(1, Outcome::Refused(Some(Micros(S))));
-    assert!(!ask(&b, 2));
-    b.now += S;
-    assert!(ask(&b, 2));
+fn a_call_may_not_begin_during_a_drain_or_a_retry_after_wait() {
+    let mut harness = SenderHarness::new(settings(), vec![entry(1, 7), entry(2, 8)]);
+    let may_begin = |harness: &SenderHarness, n| {
+        harness.sender.may_begin(Micros(harness.now), MessageId(99), endpoint(n))
+    };
+    assert!(may_begin(&harness, 1) && may_begin(&harness, 2) && !may_begin(&harness, 3));
+    harness.feed(vec![Event::ListChange(vec![Entry { state: ListingState::Draining, ..entry(1, 7) }])]);
+    assert!(!may_begin(&harness, 1) && may_begin(&harness, 2));
+    harness.demand(1, 8, 0);
+    harness.returns(1, Outcome::Refused(Some(Micros(S))));
+    assert!(!may_begin(&harness, 2));
+    harness.now += S;
+    assert!(may_begin(&harness, 2));
 }
 
-/// Guards against an order over mail that is taken for lost because its server is slower than usual: it can't be
+/// Guards against an order over mail that counts as lost because its server is slower than usual. It can't be
 /// repeated, so giving up early only loses its answer.
 #[test]
-fn what_cannot_be_repeated_is_waited_for() {
-    let mut b = SenderHarness::new(settings(), vec![entry(1, 7)]);
+fn an_unsafe_message_gets_a_long_timeout() {
+    let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
     for id in 1..20 {
-        b.demand(id, 7, 2);
-        b.now += 50_000;
-        b.returns(id, Outcome::Ok);
-        b.wait(S);
+        harness.demand(id, 7, 2);
+        harness.now += 50_000;
+        harness.returns(id, Outcome::Ok);
+        harness.wait(S);
     }
-    let caps = |actions: Vec<Action>| {
+    let timeout_of = |actions: Vec<Action>| {
         actions.iter().find_map(|a| match a {
             Action::Try { timeout, .. } => Some(timeout.0),
             _ => None,
         })
     };
-    assert_eq!(caps(b.demand(50, 7, 2)), Some(8 * S), "two aims");
-    b.returns(50, Outcome::Ok);
-    b.wait(S);
-    assert!(caps(b.demand(51, 7, 0)).unwrap() < 2 * S, "a safe one is repeated sooner");
+    assert_eq!(timeout_of(harness.demand(50, 7, 2)), Some(8 * S), "two aims");
+    harness.returns(50, Outcome::Ok);
+    harness.wait(S);
+    assert!(timeout_of(harness.demand(51, 7, 0)).unwrap() < 2 * S, "a safe message is repeated sooner");
 }
 
-/// Guards against a partner that is lost with its first mail exchanger though it names a second one, and against
-/// a second one that gets the work while the first is well.
+/// Guards against a partner that can't be reached without its first mail exchanger although it names a second
+/// one, and against a second mail exchanger that gets messages while the first is healthy.
 #[test]
-fn a_higher_rank_stands_in_while_the_lower_is_out() {
-    let mut b = SenderHarness::new(
+fn an_endpoint_of_a_higher_rank_is_used_while_the_lower_is_out() {
+    let mut harness = SenderHarness::new(
         settings(),
         vec![Entry { rank: 10, ..entry(1, 7) }, Entry { rank: 20, ..entry(2, 7) }],
     );
     for id in 1..=5 {
-        b.demand(id, 7, 0);
-        assert_eq!(b.in_flight[0].endpoint, endpoint(1));
-        b.now += 100_000;
-        b.returns(id, Outcome::Ok);
-        b.wait(S);
+        harness.demand(id, 7, 0);
+        assert_eq!(harness.in_flight[0].endpoint, endpoint(1));
+        harness.now += 100_000;
+        harness.returns(id, Outcome::Ok);
+        harness.wait(S);
     }
-    b.demand(6, 7, 0);
-    b.returns(6, Outcome::ConnectFailed);
-    b.demand(7, 7, 0);
-    assert!(b.in_flight.iter().any(|a| a.id == 7 && a.endpoint == endpoint(2)), "the first one is out");
-    // Repeats go to the stand-in also when the first one is due for a trial; a first try makes the trial.
-    b.wait(4 * S);
-    assert!(b.in_flight.iter().any(|a| a.id == 6 && a.endpoint == endpoint(2)));
-    b.demand(8, 7, 0);
-    assert!(b.in_flight.iter().any(|a| a.id == 8 && a.endpoint == endpoint(1)), "the trial");
+    harness.demand(6, 7, 0);
+    harness.returns(6, Outcome::ConnectFailed);
+    harness.demand(7, 7, 0);
+    assert!(
+        harness.in_flight.iter().any(|a| a.id == 7 && a.endpoint == endpoint(2)),
+        "the first endpoint is out"
+    );
+    // Repeats go to the stand-in even when a trial of the first endpoint is due; a first attempt is used for
+    // the trial.
+    harness.wait(4 * S);
+    assert!(harness.in_flight.iter().any(|a| a.id == 6 && a.endpoint == endpoint(2)));
+    harness.demand(8, 7, 0);
+    assert!(harness.in_flight.iter().any(|a| a.id == 8 && a.endpoint == endpoint(1)), "the trial");
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,6 @@
-//! Random legal streams of events under several settings: the rules a sender alone can keep are kept, and the
-//! same events give the same actions. It feeds events and draws outcomes; it models no server.
+//! Property test with random legal streams of events under several settings: a sender keeps the rules that it
+//! can keep on its own, and the same events give the same actions. Outcomes are drawn at random; no server is
+//! modelled.
 
 mod common;
 use common::{class, endpoint, entry, settings, S};
@@ -17,7 +18,7 @@
     ListFailed,
     Probe { outcome: u8 },
     Note { bytes: Vec<u8> },
-    Pass { millis: u64 },
+    Wait { millis: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -31,43 +32,46 @@
         1 => (0usize..40).prop_map(|pick| Step::Hangup { pick }),
         1 => Just(Step::ListFailed),
         2 => (0u8..2).prop_map(|outcome| Step::Probe { outcome }),
-        6 => prop_oneof![1u64..40, 40u64..900, 900u64..9000].prop_map(|millis| Step::Pass { millis }),
+        6 => prop_oneof![1u64..40, 40u64..900, 900u64..9000].prop_map(|millis| Step::Wait { millis }),
     ]
 }
 
+/// What the test knows of a message.
 #[derive(Default)]
-struct Seen {
+struct TrackedMessage {
     class: u16,
     destination: u16,
     key: u64,
     due: u64,
     order: u64,
     attempts: u8,
-    out: Option<(EndpointId, u8, u64)>,
-    risk: Option<(u64, EndpointId)>,
-    over: bool,
+    /// The attempt in flight: its endpoint, its number and when it was sent.
+    in_flight: Option<(EndpointId, u8, u64)>,
+    /// The first attempt that may have run: when it was sent and where to.
+    may_have_run: Option<(u64, EndpointId)>,
+    finished: bool,
 }
 
-/// Plays the steps and checks every action; returns all actions.
-fn play(set: &Settings, steps: &[Step]) -> Vec<Action> {
+/// Runs the steps and checks every action; returns all actions.
+fn run_steps(set: &Settings, steps: &[Step]) -> Vec<Action> {
     let keyed_window = 12 * S;
     let slack = 20_000;
     let zone = |e: EndpointId| e.addr[3] % 2;
     let line = |n: u8| Entry { zone: ZoneId(u16::from(n % 2)), ..entry(n, u16::from(n.div_ceil(2))) };
     let mut sender = Sender::new(set.clone(), 11);
     let mut now = 3 * S;
-    let mut seen: BTreeMap<u64, Seen> = BTreeMap::new();
+    let mut seen: BTreeMap<u64, TrackedMessage> = BTreeMap::new();
     let mut states: BTreeMap<EndpointId, ListingState> =
         (1..41).map(|n| (endpoint(n), ListingState::Ready)).collect();
     let mut waits: BTreeMap<(u16, Option<EndpointId>), u64> = BTreeMap::new();
-    let mut rests: BTreeMap<u64, u64> = BTreeMap::new();
+    let mut quiet_until: BTreeMap<u64, u64> = BTreeMap::new();
     let mut probes: Vec<EndpointId> = vec![];
-    let mut alarms: BTreeSet<u64> = BTreeSet::new();
+    let mut timers: BTreeSet<u64> = BTreeSet::new();
     let mut all = vec![];
     let mut next = 0;
-    let end = [Step::Pass { millis: 40_000 }];
+    let end = [Step::Wait { millis: 40_000 }];
     let mut queue: Vec<Vec<Event>> = vec![vec![Event::WholeList((1..41).map(line).collect())]];
-    for step in std::iter::once(&Step::Pass { millis: 1 }).chain(steps).chain(&end) {
+    for step in std::iter::once(&Step::Wait { millis: 1 }).chain(steps).chain(&end) {
         let mut until = now;
         match step {
             Step::Demand { destination, class, key } => {
@@ -81,7 +85,7 @@
                     key: (*key > 0).then_some(Key(*key)),
                     due: Micros(due),
                 };
-                let s = Seen {
+                let s = TrackedMessage {
                     class: *class,
                     destination: *destination,
                     key: *key,
@@ -93,7 +97,8 @@
                 queue.push(vec![Event::Demand(message)]);
             }
             Step::Return { pick, outcome } => {
-                let out: Vec<u64> = seen.iter().filter(|(_, s)| s.out.is_some()).map(|(id, _)| *id).collect();
+                let out: Vec<u64> =
+                    seen.iter().filter(|(_, s)| s.in_flight.is_some()).map(|(id, _)| *id).collect();
                 if let Some(id) = out.get(pick % out.len().max(1)) {
                     let outcome = [
                         Outcome::Ok,
@@ -106,7 +111,15 @@
                         Outcome::Reset,
                         Outcome::NotSent,
                     ][usize::from(*outcome)];
-                    queue.push(vec![returned(&mut seen, &mut waits, &mut rests, set, now, *id, outcome)]);
+                    queue.push(vec![returned(
+                        &mut seen,
+                        &mut waits,
+                        &mut quiet_until,
+                        set,
+                        now,
+                        *id,
+                        outcome,
+                    )]);
                 }
             }
             Step::List { n, state } => {
@@ -117,9 +130,9 @@
                 queue.push(vec![Event::ListChange(vec![Entry { state, ..line(*n) }])]);
             }
             Step::Hangup { pick } => {
-                let held: Vec<u64> = seen.iter().filter(|(_, s)| !s.over).map(|(id, _)| *id).collect();
+                let held: Vec<u64> = seen.iter().filter(|(_, s)| !s.finished).map(|(id, _)| *id).collect();
                 if let Some(id) = held.get(pick % held.len().max(1)) {
-                    seen.get_mut(id).expect("held").over = true;
+                    seen.get_mut(id).expect("held").finished = true;
                     queue.push(vec![Event::Withdrawn(MessageId(*id))]);
                 }
             }
@@ -133,24 +146,25 @@
             Step::Note { bytes } => {
                 queue.push(vec![Event::PeerGossip { from: PeerId(2), bytes: bytes.clone() }])
             }
-            Step::Pass { millis } => until = now + millis * 1000,
+            Step::Wait { millis } => until = now + millis * 1000,
         }
         loop {
             let events = if let Some(events) = queue.pop() {
                 events
             } else {
-                // Attempts end by their client's time at the latest; then timers ring.
-                let expiring = seen.iter().filter(|(_, s)| s.out.is_some()).map(|(id, s)| (s.due, *id)).min();
-                let alarm = alarms.first().copied();
-                let at = expiring.map(|e| e.0).into_iter().chain(alarm).min();
+                // Attempts end by their messages' due times at the latest; then timers fire.
+                let expiring =
+                    seen.iter().filter(|(_, s)| s.in_flight.is_some()).map(|(id, s)| (s.due, *id)).min();
+                let timer = timers.first().copied();
+                let at = expiring.map(|e| e.0).into_iter().chain(timer).min();
                 let Some(at) = at.filter(|at| *at <= until) else { break };
                 now = now.max(at);
-                if alarm == Some(at) {
-                    alarms.remove(&at);
+                if timer == Some(at) {
+                    timers.remove(&at);
                     vec![Event::TimerElapsed(TimerToken(0))]
                 } else {
                     let id = expiring.expect("the earlier one").1;
-                    vec![returned(&mut seen, &mut waits, &mut rests, set, now, id, Outcome::Timeout)]
+                    vec![returned(&mut seen, &mut waits, &mut quiet_until, set, now, id, Outcome::Timeout)]
                 }
             };
             let mut actions = vec![];
@@ -158,27 +172,36 @@
             for action in &actions {
                 match action {
                     Action::Try { id, endpoint, .. } => {
-                        let turn = |other: &Seen, me: &Seen| {
-                            other.order < me.order && (!other.over || other.out.is_some())
+                        let comes_before = |other: &TrackedMessage, me: &TrackedMessage| {
+                            other.order < me.order && (!other.finished || other.in_flight.is_some())
                         };
                         let me = &seen[&id.0];
                         let in_order = set.classes[usize::from(me.class)].in_order && me.key > 0;
                         if in_order {
                             let before = seen.values().filter(|o| {
-                                o.key == me.key && set.classes[usize::from(o.class)].in_order && turn(o, me)
+                                o.key == me.key
+                                    && set.classes[usize::from(o.class)].in_order
+                                    && comes_before(o, me)
                             });
                             assert_eq!(before.count(), 0, "key order");
-                            let rest = rests.get(&me.key).copied().unwrap_or(0);
-                            assert!(me.attempts > 0 || now >= rest, "the key rests");
+                            let quiet = quiet_until.get(&me.key).copied().unwrap_or(0);
+                            assert!(me.attempts > 0 || now >= quiet, "the key's quiet time");
                         }
-                        assert!(!me.over, "nothing after the final answer");
-                        assert!(me.out.is_none(), "no second attempt out");
-                        assert!(u32::from(me.attempts) < set.limits.max_attempts.unwrap_or(99), "attempts");
-                        assert_eq!(states[endpoint], ListingState::Ready, "drains");
+                        assert!(!me.finished, "no attempt after the final answer");
+                        assert!(me.in_flight.is_none(), "no second attempt in flight");
+                        assert!(
+                            u32::from(me.attempts) < set.limits.max_attempts.unwrap_or(99),
+                            "too many attempts"
+                        );
+                        assert_eq!(
+                            states[endpoint],
+                            ListingState::Ready,
+                            "only listed endpoints that do not drain"
+                        );
                         assert_eq!(u16::from(endpoint.addr[3].div_ceil(2)), me.destination);
                         let route = (me.destination, set.kinds[0].separate_routes.then_some(*endpoint));
-                        assert!(waits.get(&route).is_none_or(|w| *w <= now), "told waits");
-                        match (set.classes[usize::from(me.class)].effect, me.risk) {
+                        assert!(waits.get(&route).is_none_or(|w| *w <= now), "retry-after waits");
+                        match (set.classes[usize::from(me.class)].effect, me.may_have_run) {
                             (Effect::Unsafe, risk) => assert!(risk.is_none(), "unsafe repeat"),
                             (Effect::Keyed { group, .. }, Some((sent, first))) => {
                                 assert!(now < sent + keyed_window, "window");
@@ -186,33 +209,35 @@
                             }
                             _ => {}
                         }
-                        let out = seen.values().filter(|s| s.out.is_some()).count();
+                        let out = seen.values().filter(|s| s.in_flight.is_some()).count();
                         assert!(
                             set.kinds[0].max_batch_size > 1 || out < set.limits.slots.unwrap_or(99) as usize
                         );
                         let me = seen.get_mut(&id.0).expect("known");
-                        me.out = Some((*endpoint, me.attempts, now));
+                        me.in_flight = Some((*endpoint, me.attempts, now));
                         me.attempts += 1;
                     }
                     Action::Decline { id, .. } => {
                         let me = seen.get_mut(&id.0).expect("known");
-                        assert!(!me.over, "one answer");
-                        assert!(me.out.is_none() && now <= me.due + slack);
+                        assert!(!me.finished, "one answer");
+                        assert!(me.in_flight.is_none() && now <= me.due + slack);
                         match set.classes[usize::from(me.class)].effect {
                             Effect::Safe => {}
-                            Effect::Unsafe => assert!(me.risk.is_none(), "declined though it may have run"),
+                            Effect::Unsafe => {
+                                assert!(me.may_have_run.is_none(), "declined though it may have run")
+                            }
                             Effect::Keyed { group, .. } => {
-                                assert!(me.risk.is_none() || group == DedupGroup::All)
+                                assert!(me.may_have_run.is_none() || group == DedupGroup::All)
                             }
                         }
-                        me.over = true;
+                        me.finished = true;
                     }
                     Action::Fail(id) => {
                         let me = seen.get_mut(&id.0).expect("known");
-                        assert!(!me.over && now <= me.due + slack, "one answer in time");
-                        me.over = true;
+                        assert!(!me.finished && now <= me.due + slack, "one answer in time");
+                        me.finished = true;
                     }
-                    Action::SetTimer { after, .. } => drop(alarms.insert(now + after.0)),
+                    Action::SetTimer { after, .. } => drop(timers.insert(now + after.0)),
                     Action::Probe(endpoint) => {
                         assert!(set.limits.probes && states[endpoint] == ListingState::Ready);
                         probes.push(*endpoint);
@@ -224,34 +249,34 @@
         }
         now = now.max(until);
     }
-    assert!(seen.values().all(|s| s.over), "every message has its answer");
+    assert!(seen.values().all(|s| s.finished), "every message has its answer");
     all
 }
 
 fn returned(
-    seen: &mut BTreeMap<u64, Seen>, waits: &mut BTreeMap<(u16, Option<EndpointId>), u64>,
-    rests: &mut BTreeMap<u64, u64>, set: &Settings, now: u64, id: u64, outcome: Outcome,
+    seen: &mut BTreeMap<u64, TrackedMessage>, waits: &mut BTreeMap<(u16, Option<EndpointId>), u64>,
+    quiet_until: &mut BTreeMap<u64, u64>, set: &Settings, now: u64, id: u64, outcome: Outcome,
 ) -> Event {
     let s = seen.get_mut(&id).expect("known");
-    let (endpoint, attempt, sent) = s.out.take().expect("out");
+    let (endpoint, attempt, sent) = s.in_flight.take().expect("out");
     if matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset) {
-        s.risk.get_or_insert((sent, endpoint));
+        s.may_have_run.get_or_insert((sent, endpoint));
     }
     if matches!(outcome, Outcome::Timeout | Outcome::Reset) && set.classes[usize::from(s.class)].in_order {
-        rests.insert(s.key, now + set.rules.key_quiet.map_or(0, |q| q.0));
+        quiet_until.insert(s.key, now + set.rules.key_quiet.map_or(0, |q| q.0));
     }
     if let Outcome::Refused(Some(wait)) = outcome {
         let route = (s.destination, set.kinds[0].separate_routes.then_some(endpoint));
         let until = waits.entry(route).or_default();
         *until = (*until).max(now + wait.0);
     }
-    let terminal = s.over || outcome == Outcome::Ok;
-    s.over = terminal;
+    let terminal = s.finished || outcome == Outcome::Ok;
+    s.finished = terminal;
     let latency = Micros(now - sent);
     Event::Returned { id: MessageId(id), endpoint, outcome, terminal, latency, attempt, report: vec![] }
 }
 
-fn variants() -> Vec<Settings> {
+fn settings_variants() -> Vec<Settings> {
     let mut plain = settings();
     plain.classes.push(class(Effect::Keyed { group: DedupGroup::Zone, window: Micros(12 * S) }));
     plain.limits.slots = Some(5);
@@ -268,7 +293,7 @@
     bundles.kinds[0].max_batch_size = 4;
     bundles.limits.max_attempts = Some(3);
     bundles.classes[1].in_order = true;
-    // One of hundreds of senders: no reports, no probes, notes of any bytes.
+    // One of hundreds of senders: no load reports, no probes, and notes with arbitrary bytes.
     let mut many = plain.clone();
     many.senders = 300;
     many.weights = Weights::Nominal;
@@ -279,14 +304,14 @@
 }
 
 #[test]
-fn the_rules_hold_and_the_same_events_give_the_same_actions() {
+fn a_sender_keeps_the_rules_and_is_deterministic() {
     let config = Config { cases: 150, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[5; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = proptest::collection::vec(step(), 1..150);
     let result = runner.run(&steps, |steps| {
-        for set in variants() {
-            prop_assert_eq!(play(&set, &steps), play(&set, &steps));
+        for set in settings_variants() {
+            prop_assert_eq!(run_steps(&set, &steps), run_steps(&set, &steps));
         }
         Ok(())
     });
