--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,4 +1,4 @@
-//! Reqs that are handed in: taken or refused at once, and written down before any answer says so.
+//! Admission of reqs: each is accepted or refused at once, and accepted reqs are in the journal before they are answered.
 
 use super::{
     policy_message, returned_event, Answer, Core, Order, PendingMessage, Req, Verdict, DEFAULT_RETRY_AFTER,
@@ -9,12 +9,12 @@
 use std::sync::Arc;
 
 impl Core {
-    /// How long a client is told to stay away where the module has said nothing; never longer than the settings say it heeds.
+    /// The retry delay in a refusal for which the decision module gave none, limited to the longest delay in the settings.
     pub(super) fn default_retry_after(&self) -> Micros {
         DEFAULT_RETRY_AFTER.min(self.draining.max_retry_after)
     }
 
-    /// Taken or refused at once, each in its turn. The journal has all that are taken before any answer says so.
+    /// Accepts or refuses each req in order. The journal has all accepted reqs before any answer is returned.
     pub(super) fn admit(&mut self, now: Micros, reqs: Vec<Req>) -> Vec<Answer> {
         if !self.is_active() {
             return reqs.iter().map(|_| Answer::Refused(self.default_retry_after())).collect();
@@ -22,7 +22,8 @@
         let mut answers = Vec::with_capacity(reqs.len());
         let mut batch: Vec<(u64, Arc<Req>)> = Vec::new();
         for req in reqs {
-            // Danger: one that is handed in twice in a batch was known by a message that may yet be refused.
+            // A req that repeats an id of this batch must not be answered as known while the first may still be refused, so
+            // the batch is decided first.
             if batch.iter().any(|(_, other)| other.id == req.id) {
                 self.record_and_decide(now, std::mem::take(&mut batch), &mut answers);
             }
@@ -50,12 +51,13 @@
         answers
     }
 
-    /// The answer to a req that needs no decision of the module; so many before it are about to be taken.
+    /// The answer to a req that needs no decision of the module, if there is one; `before` reqs of the batch are to be
+    /// admitted ahead of it.
     pub(super) fn immediate_answer(&mut self, now: Micros, req: &Req, before: usize) -> Option<Answer> {
         let stay_away = self.default_retry_after();
-        // Handed in again under the same id: its answer was lost on the way, and it is owed, or was answered, once.
+        // The client repeats a req whose answer was lost. The message is pending and must not be admitted twice.
         if let Some(held) = self.messages_by_id.get(&req.id).and_then(|msg| self.messages.get_mut(msg)) {
-            // Danger: another's message under an id that is taken was told that it is taken on, and never was.
+            // A different message under the same id would be answered as accepted and never be delivered.
             if !is_same_message(&held.req, req) {
                 return Some(Answer::Refused(stay_away));
             }
@@ -80,7 +82,7 @@
         full.then_some(Answer::Refused(stay_away))
     }
 
-    /// Writes a batch down and asks the module. Who can't be taken has its answer changed.
+    /// Records a batch in the journal and asks the decision module; changes the answers of reqs that are refused.
     pub(super) fn record_and_decide(
         &mut self, now: Micros, batch: Vec<(u64, Arc<Req>)>, answers: &mut [Answer],
     ) {
@@ -93,7 +95,7 @@
                 *answer = Answer::Refused(wait);
             }
         };
-        // What can't be written down is not taken on.
+        // Reqs that the journal could not record are refused.
         let taken = self.journal.take(&batch).unwrap_or(0);
         for (msg, req) in &batch[taken..] {
             self.figures.count(Ended::Rejected, req.class);
@@ -127,8 +129,8 @@
                 Some(Verdict::HandedBack(wait)) => wait,
                 Some(Verdict::GivenUp) => stay_away,
             };
-            // Danger: a refusal that the journal does not know of is undone by a kill, and the message delivered beside the copy
-            // that its client hands in elsewhere. Then it is taken on, and its end told as of any other.
+            // If a refusal were not in the journal, a killed process would resume the message and deliver it beside the copy
+            // that the client submitted elsewhere. In that case the message counts as accepted, and its end is notified.
             match self.journal.withdraw(id) {
                 Ok(()) => {
                     tracing::debug!(target: "attempts", msg = id, wait_ms = wait.0 / 1_000, "refused by the policy");
@@ -140,7 +142,7 @@
         }
     }
 
-    /// The client went before its answer was written.
+    /// Withdraws a message whose client disconnected before its answer was written.
     pub(super) fn withdraw_unanswered(&mut self, now: Micros, msg: u64) {
         let Some(parked) = self.messages.get_mut(&msg).and_then(|m| m.orders_after_answer.take()) else {
             return;
@@ -162,8 +164,8 @@
     }
 }
 
-/// The same message, handed in twice; its deadline counts from another moment. An id that is recognised after its end
-/// was made from the message itself, whose traces may differ by now.
+/// Whether two reqs are the same message; the deadlines may differ. An id that stays recognised after its message ended
+/// was derived from the message itself, so nothing but front and destination is compared: trace headers may differ by now.
 fn is_same_message(a: &Req, b: &Req) -> bool {
     let of = |r: &Req| (r.class, r.tenant, r.head.clone());
     a.front == b.front && a.dest == b.dest && (a.keep_id.0 > 0 || of(a) == of(b) && a.body == b.body)
--- a/src/core/backend_lists.rs
+++ b/src/core/backend_lists.rs
@@ -1,4 +1,5 @@
-//! What the register says reaches the module and the fronts; names of backends, and those left out by hand.
+//! Passes endpoint list changes from the register to the decision module and the fronts, maps backend names to endpoint
+//! ids, and applies administrative overrides.
 
 use super::{returned_event, Backend, Core, EndpointState, Order, PLATFORM_FRONT};
 use crate::api::{DestinationId, EndpointId, Entry, Event, KindId, ListingState, Micros, Outcome, ZoneId};
@@ -6,7 +7,7 @@
 use crate::register::{EndpointChange, RegistryEffects};
 use std::sync::Arc;
 
-/// A backend that has gone is known for so long: more than any window in which a message may be repeated.
+/// How long a removed backend stays known. It exceeds every window in which a message may be repeated.
 const REMOVED_BACKEND_RETENTION: Micros = Micros(60_000_000);
 const MAX_REMOVED_BACKENDS: usize = 512;
 
@@ -23,13 +24,13 @@
         (self.figures.members, self.figures.unavailable, self.figures.ready) = (members, unavailable, ready);
     }
 
-    /// Takes over what the operators have left out or put back since the last look.
+    /// Applies the administrative overrides that changed since the last call.
     pub(super) fn apply_overrides(&mut self, now: Micros) {
         let Some(hand) = self.overrides.clone().filter(|hand| hand.version() != self.overrides_version)
         else {
             return;
         };
-        // Danger: read before the set, so that a change in between is looked at once more and never missed.
+        // The version is read before the set: a change in between is applied once more instead of being missed.
         self.overrides_version = hand.version();
         for (front, back, news) in self.register.set_excluded(now, hand.out()) {
             let back = back.iter().map(|name| Event::Restarted(self.endpoint_id(front, name))).collect();
@@ -38,7 +39,8 @@
         self.update_member_counts();
     }
 
-    /// The module's name for a backend. Its address may differ from courier to courier and change.
+    /// The decision module's id of a backend. It follows the name, because the address may change and may differ between
+    /// couriers.
     pub(super) fn endpoint_id(&mut self, front: u8, name: &str) -> EndpointId {
         let next = EndpointId { addr: self.next_endpoint_number.to_be_bytes(), port: 0 };
         *self.endpoint_ids.entry((front, name.to_owned())).or_insert_with(|| {
@@ -47,7 +49,7 @@
         })
     }
 
-    /// Carries out what the register decided, and tells the module.
+    /// Carries out the register's decisions and passes the resulting events to the decision module.
     pub(super) fn apply_list_change(
         &mut self, now: Micros, front: u8, news: RegistryEffects, more: Vec<Event>,
     ) {
@@ -56,7 +58,7 @@
         self.feed(now, &events, &mut []);
     }
 
-    /// The same; the events for the module are returned.
+    /// Carries out the register's decisions and returns the events for the decision module.
     pub(super) fn list_change_events(&mut self, now: Micros, front: u8, news: RegistryEffects) -> Vec<Event> {
         news.log_lines.iter().for_each(|words| tracing::info!(target: "register", "{words}"));
         let mut lines = Vec::with_capacity(news.changes.len());
@@ -82,7 +84,7 @@
             if line.state == EndpointState::Gone {
                 self.removed_backends.push_back((now, front, listed.clone()));
             }
-            // Nothing new goes to a connection of one that drains, is gone or has moved.
+            // Idle connections to a backend that drains, was removed or changed its address are closed.
             let before = self.backends.insert(endpoint, listed.clone()).filter(|b| *b != listed);
             let parts = line.state != EndpointState::Up;
             before.into_iter().chain(parts.then_some(listed)).for_each(|b| self.order(Order::CloseIdle(b)));
@@ -98,7 +100,7 @@
             if self.messages.contains_key(&msg) {
                 self.start(now, fetch, cap);
             } else {
-                // Danger: a call whose message has ended meanwhile would hold its slot for ever.
+                // The message has ended: without this event its call would keep its concurrency slot for ever.
                 events.push(returned_event(&fetch, Outcome::NotSent, true, Micros(0), Vec::new()));
                 self.record_call_end(now, &fetch, CallEnd::Unsent, &mut events);
             }
@@ -109,7 +111,8 @@
         events
     }
 
-    /// Danger: where backends come and go all day, their names alone fill memory in the end.
+    /// Forgets backends that were removed long ago. Where backends come and go all day, their names would otherwise fill
+    /// the memory.
     pub(super) fn forget_removed_backends(&mut self, now: Micros) {
         let over = |s: &Core| {
             s.removed_backends.len() > MAX_REMOVED_BACKENDS
@@ -118,7 +121,7 @@
         while over(self) {
             let Some((_, front, backend)) = self.removed_backends.pop_front() else { return };
             let key = (front, backend.name.clone());
-            // It may have come back.
+            // A backend that is listed again is kept.
             if !self.register.front(front).is_some_and(|b| b.contains(&key.1)) {
                 if let Some(endpoint) = self.endpoint_ids.remove(&key) {
                     self.backends.remove(&endpoint);
--- a/src/core/fetch_calls.rs
+++ b/src/core/fetch_calls.rs
@@ -1,4 +1,4 @@
-//! How fetches begin and end: the last look before a first byte, and what an outcome means for all that is owed.
+//! Begin and end of fetches: the checks just before the first byte, and the effect of an outcome on the message.
 
 use super::attempt_log::Withheld;
 use super::{returned_event, Core, End, Fetch, FinishedFetch, Verdict, MIN_TIME_TO_BEGIN};
@@ -9,12 +9,12 @@
 use crate::store::How;
 
 impl Core {
-    /// Just before the first byte of a fetch, which the journal must hear of first.
+    /// Whether the first byte of a fetch may be sent now; if so, the journal has recorded the attempt.
     pub(super) fn begin_fetch(&mut self, now: Micros, fetch: &Fetch) -> bool {
         self.begin_fetches(now, std::slice::from_ref(fetch)) == [true]
     }
 
-    /// The same for the members of a batch, each by itself, with one write of the journal for all that go.
+    /// Decides the same for each member of a batch, with one journal write for all members that may begin.
     pub(super) fn begin_all(&mut self, now: Micros, fetches: &[Fetch]) -> Vec<bool> {
         if !self.is_active() {
             return vec![false; fetches.len()];
@@ -47,7 +47,7 @@
         reasons.iter().map(Option::is_none).collect()
     }
 
-    /// Why this fetch may not begin by all that is known now, if it may not.
+    /// The reason why this fetch may not begin now, if there is one.
     fn withheld_reason(&mut self, now: Micros, fetch: &Fetch) -> Option<Withheld> {
         self.apply_overrides(now);
         let alive = self.messages.get(&fetch.msg).is_some_and(|m| !m.decided);
@@ -68,7 +68,7 @@
         conditions.into_iter().find(|(_, holds)| *holds).map(|(why, _)| why)
     }
 
-    /// Fetches are over: written down together, and one round of the module on all of them, in their order.
+    /// Handles finished fetches: one journal write and one round of the decision module cover all of them, in their order.
     pub(super) fn fetches_done(&mut self, now: Micros, all: Vec<FinishedFetch>) {
         if !self.is_active() {
             return self.complete_while_inactive(all);
@@ -76,8 +76,7 @@
         let (mut events, mut rejected) = (Vec::with_capacity(all.len()), Vec::new());
         self.journal.gather();
         all.into_iter().for_each(|over| self.fetch_done(now, over, &mut events, &mut rejected));
-        // Danger: an order to send once more, or to tell an end, must not leave before the journal knows how the last call
-        // ended.
+        // A retry or a notice must not be ordered before the journal has the outcome of the last call.
         self.journal.written();
         self.queue_ended_messages();
         rejected.into_iter().for_each(|msg| self.verdict(now, msg, Verdict::GivenUp, &mut []));
@@ -99,7 +98,7 @@
             held.in_flight = false;
         }
         if let End::TurnedAway(Some(wait)) | End::Spoilt(Some(wait)) = end {
-            // Known from the head of the answer on, where its front tells of that.
+            // A front that reports the wait when it reads the answer's head has recorded it already.
             self.record_wait(now, fetch.req.front, fetch.req.dest, wait);
         }
         let mut more = Vec::new();
@@ -107,7 +106,7 @@
         if matches!(end, End::Unsent | End::NotBegun)
             && self.stop_at.is_some_and(|at| now + MIN_TIME_TO_BEGIN >= at)
         {
-            return; // the next life takes it up, with no attempt counted
+            return; // the next process resumes the message with no attempt counted
         }
         let (outcome, over) = match end {
             End::Delivered => (Outcome::Ok, true),
@@ -117,7 +116,7 @@
             End::Unsent => (Outcome::NotSent, false),
             End::NotBegun => (self.undo_attempt(fetch.msg), false),
             End::Over | End::Rejected => (Outcome::NotSent, true),
-            // A machine that only an old list names says nothing of its destination.
+            // A failed connection to a backend that only an outdated list names is no evidence about its destination.
             End::NotConnected if heard == CallReport::AsUnsent => (Outcome::NotSent, false),
             End::NotConnected => (Outcome::ConnectFailed, false),
             End::Broke => (Outcome::Reset, false),
@@ -141,7 +140,7 @@
         events.append(&mut more);
     }
 
-    /// The register hears how a fetch ended. What follows of that for the module is added to `events`.
+    /// Reports the end of a fetch to the register, and adds the resulting events for the decision module to `events`.
     pub(super) fn record_call_end(
         &mut self, now: Micros, fetch: &Fetch, end: CallEnd, events: &mut Vec<Event>,
     ) -> CallReport {
@@ -154,7 +153,7 @@
         heard
     }
 
-    /// Takes a fetch out of the line in which it waits; the module hears that it was never sent.
+    /// Removes a fetch that waits for its turn at a backend; the returned event says that it was never sent.
     pub(super) fn leave_waiting_line(&mut self, msg: u64) -> Option<Event> {
         let (fetch, _) = self.waiting_fetches.remove(&msg)?;
         if let Some(held) = self.messages.get_mut(&msg) {
@@ -165,7 +164,7 @@
         Some(returned_event(&fetch, outcome, false, Micros(0), Vec::new()))
     }
 
-    /// The latest attempt of this message is taken back: here, and in the module by the outcome.
+    /// Uncounts the message's latest attempt here; the outcome makes the decision module do the same.
     fn undo_attempt(&mut self, msg: u64) -> Outcome {
         if let Some(held) = self.messages.get_mut(&msg) {
             held.attempts = held.attempts.wrapping_sub(1);
--- a/src/core/journal_outage.rs
+++ b/src/core/journal_outage.rs
@@ -1,27 +1,27 @@
-//! What the core does while the journal can't be written: it takes nothing on and begins no attempt, each refused by the journal
-//! itself, and tells no end that a kill could undo.
+//! Behaviour while the journal cannot be written. The journal itself refuses new messages and attempts; the core defers
+//! notices whose verdict is only in memory, and retries the write.
 
 use super::{Core, Courier, Notice, Order};
 use crate::api::Micros;
 
-/// How long to wait between two tries to write what could not be written.
+/// Interval between two attempts to write records that could not be written.
 const RETRY_INTERVAL: Micros = Micros(20_000);
 
-/// Ends that are not told yet, and whether the journal can be written.
+/// Deferred notices and the state of the retries.
 #[derive(Default)]
 pub(super) struct JournalOutage {
-    /// Notices of verdicts that the journal has in memory only.
+    /// Notices whose verdict the journal holds in memory only.
     deferred_notices: Vec<Notice>,
-    /// When writing is tried again.
+    /// Time of the next attempt to write.
     retry_at: Micros,
-    /// The journal was failing at the last look.
+    /// Whether the journal was failing at the last check.
     was_failing: bool,
 }
 
 impl Core {
-    /// An end is told once the journal has its verdict. Danger: a process that is killed in between takes the message up again
-    /// and delivers what its client was told to hand in elsewhere. Once its time is up nothing is delivered any more, so then it
-    /// is told all the same.
+    /// Sends a notice once its verdict is in the journal. If the notice went first and the process were killed, the next
+    /// process would resume the message and deliver it although the client was told to submit it elsewhere. After the
+    /// message's deadline nothing is delivered, so the notice goes out without the record.
     pub(super) fn send_notice(&mut self, now: Micros, notice: Notice) {
         if self.journal.behind() && now < notice.req.due {
             self.journal_outage.deferred_notices.push(notice);
@@ -30,11 +30,11 @@
         }
     }
 
-    /// Tries to write what the journal could not write, and tells the ends that waited for it.
+    /// Retries the records that the journal could not write, and sends the notices that waited for them.
     pub(super) fn retry_journal(&mut self, now: Micros) {
         if self.journal.failing() && now >= self.journal_outage.retry_at {
             self.journal_outage.retry_at = now + RETRY_INTERVAL;
-            // After an error the next try does it.
+            // An error leaves the records pending until the next retry.
             let _ = self.journal.catch_up();
         }
         let failing = self.journal.failing() || !self.journal.failure().is_empty();
@@ -56,7 +56,7 @@
 }
 
 impl Courier {
-    /// Whether the journal's records are all written; tries once more if some are not.
+    /// Whether all journal records are written; retries at once if some are not.
     pub fn journal_written(&self) -> bool {
         let now = self.clock.now();
         let mut state = self.state();
