--- a/src/core/batches.rs
+++ b/src/core/batches.rs
@@ -1,30 +1,30 @@
-//! What the module sends to one endpoint in one turn travels as one call, up to the settings' number for its kind. The
-//! members of a batch stay fetches of their own; the call waits until the answers that took them on are written.
+//! Groups the attempts that the decision module orders for one endpoint in one turn into one call, up to the limit in the
+//! settings for its kind. The members stay separate fetches; the call waits until all answers that accepted them are written.
 
 use super::{Core, Fetch, Order};
 use crate::api::{EndpointId, Micros};
 use std::collections::BTreeMap;
 
-/// A try that the module has ordered.
+/// An attempt that the decision module has ordered.
 pub(super) struct OrderedAttempt {
     /// The message.
     pub msg: u64,
-    /// Where to.
+    /// The endpoint to call.
     pub endpoint: EndpointId,
-    /// For how long at most.
+    /// The longest time that the attempt may take.
     pub timeout: Micros,
 }
 
-/// A batch of which not all answers are written.
+/// A batch that waits for answers to be written.
 struct PendingBatch {
     fetches: Vec<Fetch>,
-    /// So many answers are still to be written.
+    /// Number of answers still to be written.
     unwritten_answers: usize,
 }
 
-/// The core's part in batches.
+/// Batch limits and the batches that wait.
 pub(super) struct Batches {
-    /// Messages in one call at most, by kind.
+    /// Most messages in one call, by kind of endpoint.
     max_messages_by_kind: Vec<u32>,
     kinds: BTreeMap<EndpointId, u8>,
     pending: BTreeMap<u64, PendingBatch>,
@@ -41,12 +41,12 @@
         }
     }
 
-    /// The list says so.
+    /// Records the kind of a listed endpoint.
     pub(super) fn set_kind(&mut self, at: EndpointId, kind: u8) {
         self.kinds.insert(at, kind);
     }
 
-    /// It is known no more.
+    /// Forgets an endpoint.
     pub(super) fn remove_endpoint(&mut self, at: EndpointId) {
         self.kinds.remove(&at);
     }
@@ -56,7 +56,7 @@
         most.map_or(1, |most| (*most as usize).max(1))
     }
 
-    /// What goes together, in the order of the first of each.
+    /// Groups attempts into calls, in the order of the first attempt of each call.
     pub(super) fn group_into_calls(&self, tries: Vec<OrderedAttempt>) -> Vec<Vec<OrderedAttempt>> {
         let mut calls: Vec<Vec<OrderedAttempt>> = Vec::new();
         let mut open: BTreeMap<EndpointId, usize> = BTreeMap::new();
@@ -77,13 +77,13 @@
     }
 }
 
-/// A call waits for so much at least of the longest time that the module gave one of its members.
+/// A call's timeout is at least this share of the longest timeout among its members.
 const MIN_TIMEOUT_SHARE: f64 = 0.25;
 
-/// Those of one call that can be waited for together; each call's members have one deadline, and nobody's own time is up before
-/// it. Danger: a call has one fate. With a member whose message ends while the others are still waited for, what the answer says
-/// of the rest may count for nothing. Danger: most answers come long before, and a call more is one more at the limit; so only
-/// those with very little time left go by themselves.
+/// Splits fetches into calls whose members share one deadline that no member's own deadline precedes. If a member's message
+/// ended while the call was still open, the answer for the other members could be lost, as a call ends as a whole. Most
+/// answers arrive long before the deadline and each further call counts against the concurrency limit, so only fetches with
+/// very little time left get a call of their own.
 pub(super) fn split_by_deadline(now: Micros, mut fetches: Vec<Fetch>) -> Vec<Vec<Fetch>> {
     let longest = fetches.iter().map(|fetch| fetch.deadline).max().unwrap_or_default();
     fetches.iter_mut().for_each(|fetch| fetch.deadline = longest.min(fetch.req.due));
@@ -107,7 +107,7 @@
 }
 
 impl Core {
-    /// Goes at once, or when the last answer that it waits for is written.
+    /// Starts a batch at once, or when the last answer that it waits for is written.
     pub(super) fn start_batch(&mut self, fetches: Vec<Fetch>) {
         let batch = self.batches.next_batch;
         let mut waits = 0;
@@ -126,7 +126,7 @@
         self.batches.pending.insert(batch, PendingBatch { fetches, unwritten_answers: waits });
     }
 
-    /// One more of the answers that a batch waits for is written, or will not be.
+    /// Counts one answer that the batch waited for as written or abandoned, and starts the batch after the last.
     pub(super) fn batch_answer_resolved(&mut self, batch: u64) {
         let Some(gathering) = self.batches.pending.get_mut(&batch) else { return };
         gathering.unwritten_answers -= 1;
@@ -141,7 +141,7 @@
         }
     }
 
-    /// A message whose answer is not written leaves its batch; its fetch, which never began.
+    /// Removes a message whose answer was not written from its batch; returns its fetch, which never began.
     pub(super) fn leave_batch(&mut self, msg: u64) -> Option<Fetch> {
         let batch = self.messages.get_mut(&msg)?.waiting_batch.take()?;
         let fetches = &mut self.batches.pending.get_mut(&batch)?.fetches;
@@ -185,7 +185,7 @@
     #[test]
     fn no_message_of_a_call_ends_while_the_others_are_waited_for() {
         let now = Micros(5_000_000);
-        // One second for each, less where the message's own time is up sooner; the third may wait for half a second only.
+        // Each has a timeout of one second, or less if its message is due sooner; the third has half a second.
         let dues = [90_000, 5_400, 80_000, 5_240, 5_030, 6_000, 5_200, 70_000, 5_990];
         let until = |i: usize, due: u64| due.min(if i == 2 { 5_500 } else { 6_000 });
         let fetches = dues.iter().enumerate().map(|(i, due)| fetch(i as u64, until(i, *due), *due)).collect();
@@ -205,7 +205,7 @@
         let of = |call: &Vec<Fetch>| call.iter().map(|fetch| fetch.msg).collect::<Vec<_>>();
         assert_eq!(calls.iter().map(of).collect::<Vec<_>>(), [vec![0, 2, 5, 7, 8, 1], vec![3, 6], vec![4]]);
         assert_eq!(calls[0][0].deadline, Micros(5_400_000));
-        // Where all have time enough, all of it is waited for.
+        // If no message is due sooner, the call has the longest timeout.
         let calls = split_by_deadline(now, vec![fetch(0, 6_000, 90_000), fetch(1, 5_500, 80_000)]);
         assert_eq!((calls.len(), calls[0][1].deadline), (1, Micros(6_000_000)));
     }
--- a/src/core/history_feed.rs
+++ b/src/core/history_feed.rs
@@ -1,5 +1,6 @@
-//! The core's part of history: the journal's last record of a message says that it has ended and is to be kept; once that is
-//! written the message is laid down for the history's thread, and the journal's segments stay until that has put it away.
+//! Passes ended messages from the journal to the history. The journal's last record of a message says that it ended and is
+//! to be kept; once that record is written, the message is queued for the history thread. The journal keeps its segments
+//! until that thread has stored the message.
 
 use super::{Core, Courier};
 use crate::admin::figures::Ended;
@@ -11,25 +12,25 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Others may wait so long for the history's file where they could come again.
+/// How long callers that can try again wait for the history's lock.
 const HISTORY_LOCK_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// The history's thread is at work, or its file hangs.
+/// The history is locked: its thread is at work, or its file is slow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HistoryBusy;
 
-/// Ended messages are kept.
+/// The connection to the history thread.
 pub(super) struct HistoryFeed {
     pub shelf: Arc<Shelf>,
-    /// The journal has let go of all up to this one.
+    /// The journal has released all ended messages up to this number.
     released_up_to: u64,
-    /// Too many wait.
+    /// Ended messages are discarded because too many wait to be stored.
     discarding: bool,
 }
 
 impl Core {
-    /// What the history holds and the journal owes is the journal's; what has ended there and the history lacks is put in. The
-    /// journal's numbers go on behind both.
+    /// Aligns the history with the journal at the start. Messages that are pending in the journal are the journal's; messages
+    /// that ended there and are missing in the history are added. New message numbers follow the highest of both.
     pub(super) fn open_history(&mut self, now: Micros, keeper: Option<Keeper>) {
         let ends = self.journal.ended();
         if let Some(mut keeper) = keeper {
@@ -47,7 +48,7 @@
         self.journal.kept(last);
     }
 
-    /// A message has ended, and its client knows or need not be told.
+    /// Finishes a message that has ended and whose client needs no further notice.
     pub(super) fn finish_message(
         &mut self, now: Micros, msg: u64, ended: Ended, how: How, said: Option<&str>,
     ) {
@@ -67,7 +68,7 @@
         self.message_ended(now, msg, Some(ended));
     }
 
-    /// Lays down what the journal has written that it has ended.
+    /// Queues the ended messages that the journal has written.
     pub(super) fn queue_ended_messages(&mut self) {
         let Some(past) = self.history.as_ref().filter(|_| !self.journal.behind()) else { return };
         let ends = self.journal.ended();
@@ -76,7 +77,7 @@
         }
     }
 
-    /// The journal lets go of what is put away.
+    /// Lets the journal release the messages that the history has stored.
     pub(super) fn release_persisted_ends(&mut self) {
         let Some(past) = &mut self.history else { return };
         let upto = past.shelf.upto();
@@ -88,12 +89,12 @@
 }
 
 impl Courier {
-    /// What operators and other couriers ask of the history; `None`: it is off, or another process has it.
+    /// Runs a query of an operator or another courier on the history; `None`: it is off, or another process has it.
     pub fn with_history<T>(&self, by: impl FnOnce(&mut Keeper, Micros) -> T) -> Option<T> {
         self.history.as_ref()?.wait(|keeper| by(keeper, self.clock.now()))
     }
 
-    /// The same, if the history is free by then; the error says that it is not.
+    /// Runs a query if the history's lock is free by `until`; the error says that it is not.
     pub fn with_history_until<T>(
         &self, until: Instant, by: impl FnOnce(&mut Keeper, Micros) -> T,
     ) -> Result<Option<T>, HistoryBusy> {
@@ -102,8 +103,8 @@
         Ok(keeper.as_mut().map(|keeper| by(keeper, self.clock.now())))
     }
 
-    /// Puts away what has ended, and moves the history's time; on a thread of its own, as the file may be slow. `false`: it is
-    /// off, or another process has it.
+    /// Stores ended messages and advances the history's time. It runs on a thread of its own, as the file may be slow.
+    /// `false`: the history is off, or another process has it.
     pub fn persist_history(&self) -> bool {
         self.history.as_ref().is_some_and(|shelf| shelf.turn(&|| self.clock.now()))
     }
--- a/src/core/memory.rs
+++ b/src/core/memory.rs
@@ -1,4 +1,4 @@
-//! What a life writes down for the next one beside the journal, and what the next one makes of it.
+//! State that one process run stores for the next beside the journal: destination waits, demand and endpoint outages.
 
 use super::Core;
 use crate::api::{DestinationId, EndpointId, Micros, Outage};
@@ -8,22 +8,23 @@
 use std::path::{Path, PathBuf};
 
 const FILE: Sealed = Sealed { name: "memory", magic: "indigohold-memory", version: 1 };
-/// Room for that file in the folder that lasts, the one before and the one being written counted.
+/// Disk space for the file, its previous version and the version being written.
 pub const MAX_FOLDER_BYTES: u64 = 256 * 1024;
 
-/// The file and when to write it.
+/// The memory file and the schedule of its writes.
 #[derive(Default)]
 pub(super) struct MemoryFile {
     dir: Option<PathBuf>,
     write_schedule: Beat,
-    /// Since when this life is, and with which demand it began.
+    /// When this process run began.
     run_began_at: Micros,
+    /// Demand per destination with which this run began.
     initial_demand: Demand,
-    /// As the module last counted them.
+    /// The decision module's count of outage changes at the last check.
     seen_outage_changes: u64,
-    /// No demand is in the file; nothing need be written again where nothing is asked.
+    /// The stored file is empty, so an empty state need not be written again.
     written_empty: bool,
-    /// It could not be written, and that was said.
+    /// The last write failed, and the failure was logged.
     write_failed: bool,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// What the folder remembers, as far as it is believed now.
+/// Reads the stored waits, demand and outages that are still valid now.
 fn read_memory(dir: &Path, now: Micros) -> (Waits, Demand, Vec<Known>) {
     let (memory, said) = FILE.read(dir, Memory::read);
     said.iter().for_each(|line| tracing::warn!(target: "comeback", "{line}"));
@@ -47,7 +48,7 @@
 }
 
 impl Core {
-    /// Goes on with what an earlier life wrote down.
+    /// Restores what an earlier process run stored.
     pub(super) fn restore_memory(&mut self, now: Micros, taken_over: bool) {
         self.memory_file.run_began_at = now;
         self.memory_file.written_empty = true;
@@ -57,7 +58,8 @@
         if !taken_over {
             self.restore_outages(outages);
         }
-        // Danger: who takes over from a process that serves was not away, and knows its paces.
+        // Stored demand must not set send rates after a hand-over: the service was not interrupted, and the current rates
+        // are handed over.
         let demand = self.memory_file.initial_demand.iter().filter(|_| !taken_over);
         let mut paced = 0;
         for (dest, per_s) in demand {
@@ -72,7 +74,7 @@
         }
     }
 
-    /// Endpoints that were out or cold when the former life last wrote.
+    /// Restores endpoints that were out or cold when the earlier process run last wrote the file.
     fn restore_outages(&mut self, outages: Vec<Known>) {
         if !outages.is_empty() {
             tracing::info!(target: "comeback", endpoints = outages.len(), "outages of an earlier life are heeded");
@@ -85,7 +87,7 @@
         }
     }
 
-    /// What is to be written of endpoints that are out or cold now.
+    /// The endpoints to store that are out or cold now.
     fn outages_to_record(&self, now: Micros) -> impl Iterator<Item = Known> + '_ {
         let outages: HashMap<EndpointId, Outage> = self.policy.outages(now).into_iter().collect();
         self.endpoint_ids.iter().filter_map(move |((front, name), id)| {
@@ -95,7 +97,7 @@
         })
     }
 
-    /// A partner has told to wait.
+    /// Records that a partner asked for a wait.
     pub(super) fn record_wait(&mut self, now: Micros, front: u8, dest: u16, wait: Micros) {
         self.destination_waits.retain(|_, until| *until > now);
         let until = self.destination_waits.entry((front, dest)).or_default();
@@ -103,8 +105,8 @@
         *until = (*until).max(now + wait);
     }
 
-    /// Danger: a process that is killed behind this must not call in its next life before the wait is over; so it is
-    /// written before anything that follows from the answer.
+    /// Writes the file if it is due. A wait is written before anything that follows from the answer that asked for it;
+    /// otherwise a process killed in between would call the partner after its restart before the wait is over.
     pub(super) fn write_memory_if_due(&mut self, now: Micros) {
         let changes = self.policy.outage_changes();
         if std::mem::replace(&mut self.memory_file.seen_outage_changes, changes) != changes {
