--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -1,6 +1,7 @@
-//! Sending ended messages again. One is in the module only while a call of it is out: it comes in when no live message waits and
-//! a slot is free, and if it can't go at once it is taken out again, so it never competes. It has one call; it is claimed in the
-//! history just before the first byte, and the claim is closed once the call is over. The journal never hears of it.
+//! Replay of ended messages. A replayed message is in the decision module only while a call of it is in flight. It is
+//! admitted when no live message waits and a slot is free, and removed again if it can't be sent at once, so it never
+//! competes with live traffic. It has one call: the message is claimed in the history just before the first byte, and
+//! the claim is closed after the call. The journal has no record of it.
 
 use super::{policy_message, returned_event, Core, End, FinishedFetch, PendingMessage, Req};
 use crate::api::{Class, DedupGroup, Effect, Event, MessageId, Micros, Outcome, Settings};
@@ -12,83 +13,94 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Slots that stay free for what may come: one in so many.
-const SPARE: usize = 4;
+/// One of this many slots stays free for new live messages.
+const RESERVED_SLOT_DIVISOR: usize = 4;
 
-/// None comes in for so long after a live message waited, after one could not go at once, and after a partner turned one away.
-const QUIET: Micros = Micros(50_000);
-const PUT_OFF: Micros = Micros(250_000);
-const AWAY: Micros = Micros(1_000_000);
+/// The number of slots where the settings name none.
+const DEFAULT_SLOTS: usize = 64;
 
-/// One that is in the module.
-struct One {
-    /// The order's number, and the message's in the history.
+/// The part of a key's repeat window in which a repeat is still sent.
+const USABLE_WINDOW_FRACTION: f64 = 0.98;
+
+/// No replay is admitted for this long after a live message had to wait.
+const LIVE_WAITING_PAUSE: Micros = Micros(50_000);
+/// No replay is admitted for this long after one could not be sent at once.
+const NOT_STARTED_PAUSE: Micros = Micros(250_000);
+/// No replay is admitted for this long after a partner turned one away.
+const TURNED_AWAY_PAUSE: Micros = Micros(1_000_000);
+
+/// A replayed message that is in the decision module.
+struct ActiveReplay {
+    /// Number of the replay order.
     order: u64,
+    /// Number of the message in the history.
     number: u64,
     claimed: bool,
-    /// It may not go any more.
-    passed: bool,
+    /// The message may not be sent any more.
+    expired: bool,
 }
 
-/// One that is out of the module, and whose claim is to be closed.
-struct Closing {
+/// A replayed message that has left the decision module, and whose claim is still to be closed.
+struct FinishedReplay {
     order: u64,
     number: u64,
     claimed: bool,
-    passed: bool,
+    expired: bool,
+    /// The call may have taken effect.
     ran: bool,
+    /// The partner accepted the message.
     taken: bool,
 }
 
-/// Why the history can't be asked.
+/// Why the history can't be used.
 pub(super) enum HistoryUnavailable {
-    /// Its thread is at it, or its file is slow: later.
+    /// Its thread is using it, or its file is slow; a later try may succeed.
     Busy,
-    /// It is closed or off.
+    /// It is closed or disabled.
     Closed,
 }
 
-/// What is being sent again.
+/// The state of all replays.
 pub(super) struct Replays {
     classes: Vec<Class>,
-    slots: usize,
+    max_slots: usize,
     pub(super) runs: Vec<Run>,
-    /// The turn in which each order was last planned, and whether it was to be run.
+    /// For each order, the turn in which it was last planned, and whether it was to be run.
     pub(super) planned: BTreeMap<u64, (u16, bool)>,
-    /// What is known of orders is looked at again then.
+    /// When the known orders are checked next.
     pub(super) next_order_check: Micros,
-    ones: BTreeMap<u64, One>,
-    closing: Vec<Closing>,
-    /// None comes in before.
-    quiet_until: Micros,
+    active: BTreeMap<u64, ActiveReplay>,
+    unclosed: Vec<FinishedReplay>,
+    /// No replay is admitted before this time.
+    paused_until: Micros,
 }
 
 impl Replays {
     pub(super) fn new(settings: &Settings) -> Replays {
-        let slots = settings.limits.slots.map_or(64, |s| s as usize);
+        let max_slots = settings.limits.slots.map_or(DEFAULT_SLOTS, |s| s as usize);
         Replays {
             classes: settings.classes.clone(),
-            slots,
+            max_slots,
             runs: Vec::new(),
             planned: BTreeMap::new(),
             next_order_check: Micros(0),
-            ones: BTreeMap::new(),
-            closing: Vec::new(),
-            quiet_until: Micros(0),
+            active: BTreeMap::new(),
+            unclosed: Vec::new(),
+            paused_until: Micros(0),
         }
     }
 
-    /// Whether this one is sent again.
+    /// Whether this message is a replay.
     pub(super) fn contains(&self, msg: u64) -> bool {
-        self.ones.contains_key(&msg)
+        self.active.contains_key(&msg)
     }
 
-    /// How many are in the module.
+    /// Number of replays in the decision module.
     pub(super) fn active_count(&self) -> usize {
-        self.ones.len()
+        self.active.len()
     }
 
-    /// Another process decides. What is out keeps its claim, as after a kill.
+    /// Ends all runs after a handover. Messages in flight keep their claims, as after a kill of the process.
     pub(super) fn stop_all(&mut self) {
         self.runs.clear();
         self.planned.clear();
@@ -99,75 +111,78 @@
     }
 }
 
+/// The effect of a class; unknown classes count as unsafe.
 fn effect(classes: &[Class], class: u16) -> Effect {
     classes.get(usize::from(class)).map_or(Effect::Unsafe, |c| c.effect)
 }
 
-/// Whether an endpoint that remembers the key is there. Danger: of a zone only the very endpoint is known to be of it.
-fn group(classes: &[Class], register: &Registry, dest: u16, backend: &str, class: u16) -> bool {
-    let books = || (0..2).filter_map(|front| register.front(front));
+/// Whether an endpoint that remembers the key is listed. For a group that is not all endpoints, only the endpoint of the
+/// earlier call is known to belong to it.
+fn has_key_group(classes: &[Class], register: &Registry, dest: u16, backend: &str, class: u16) -> bool {
+    let fronts = || (0..2).filter_map(|front| register.front(front));
     match effect(classes, class) {
-        Effect::Keyed { group: DedupGroup::All, .. } => books().any(|b| b.has_destination(dest)),
-        _ => books().any(|b| b.accepts_calls(backend)),
+        Effect::Keyed { group: DedupGroup::All, .. } => fronts().any(|front| front.has_destination(dest)),
+        _ => fronts().any(|front| front.accepts_calls(backend)),
     }
 }
 
 impl Core {
-    /// Lets the next one in, if it is time for it.
+    /// Admits the next replay if live traffic leaves room and its run is due.
     pub(super) fn start_next_replay(&mut self, now: Micros) {
         self.update_replay_orders(now);
-        if self.replays.runs.is_empty() && self.replays.ones.is_empty() {
+        if self.replays.runs.is_empty() && self.replays.active.is_empty() {
             return;
         }
         self.close_claims(now);
-        // The module has given them up, or puts them off.
+        // The decision module gave these replays up or postponed them.
         let idle = |m: &u64| {
             self.messages.get(m).is_none_or(|held| !held.in_flight) || self.waiting_fetches.contains_key(m)
         };
-        let idle: Vec<u64> = self.replays.ones.keys().copied().filter(idle).collect();
-        idle.into_iter().for_each(|msg| self.withdraw(now, msg));
+        let idle: Vec<u64> = self.replays.active.keys().copied().filter(idle).collect();
+        idle.into_iter().for_each(|msg| self.withdraw_replay(now, msg));
         if self.stop_at.is_some() || self.replays.runs.iter().all(Run::over) {
             return;
         }
-        let waits =
+        let is_waiting =
             |(msg, m): &(&u64, &PendingMessage)| !m.decided && !m.in_flight && !self.replays.contains(**msg);
-        let waiting = self.messages.iter().filter(waits).count();
+        let waiting = self.messages.iter().filter(is_waiting).count();
         if waiting > 0 {
-            self.replays.quiet_until = self.replays.quiet_until.max(now + QUIET);
+            self.replays.paused_until = self.replays.paused_until.max(now + LIVE_WAITING_PAUSE);
         }
-        if now < self.replays.quiet_until || !self.replays.runs.iter().any(|run| run.due(now)) {
+        if now < self.replays.paused_until || !self.replays.runs.iter().any(|run| run.due(now)) {
             return;
         }
+        let in_flight = self.messages.values().filter(|m| m.in_flight).count();
         let live = Live {
             waiting,
-            free: self.replays.slots.saturating_sub(self.messages.values().filter(|m| m.in_flight).count()),
-            spare: (self.replays.slots / SPARE).max(1),
+            free: self.replays.max_slots.saturating_sub(in_flight),
+            spare: (self.replays.max_slots / RESERVED_SLOT_DIVISOR).max(1),
         };
         let next = self.try_with_replay_context(now, |history, life, world, runs| {
             runs.iter_mut().find_map(|run| {
                 let order = run.order.clone();
                 let gate = Gate { book: history.book(), life };
-                let may = |number| {
+                let check = |number| {
                     let item = history.item(number, world).ok_or(Not::Retention)?;
                     gate.may(now, &order, &item)?;
-                    // Danger: it would be lacking in an older copy of the folder, and nobody would know.
-                    let beyond = history.orders().beyond(order.id(), item.about.ended);
-                    if beyond {
-                        Err(Not::NotFresh)
-                    } else {
-                        Ok(())
+                    // A message beyond the position that the other couriers know of must not be sent: an older copy of
+                    // the folder would lack its claim, and no courier would notice.
+                    match history.orders().beyond(order.id(), item.about.ended) {
+                        true => Err(Not::NotFresh),
+                        false => Ok(()),
                     }
                 };
-                let number = run.next(now, live, may)?;
+                let number = run.next(now, live, check)?;
                 Some((order, number))
             })
         });
         if let Ok(Some((order, number))) = next {
-            self.let_in(now, &order, number);
+            self.admit_replay(now, &order, number);
         }
     }
 
-    /// The history with all that decides whether a message may go.
+    /// Calls `by` with the history and everything else that decides whether a message may be sent, if the history is
+    /// free.
     fn try_with_replay_context<T>(
         &mut self, now: Micros, by: impl FnOnce(&mut History, Life, &World, &mut Vec<Run>) -> T,
     ) -> Result<T, HistoryUnavailable> {
@@ -175,8 +190,8 @@
             .ok_or(HistoryUnavailable::Closed)
     }
 
-    /// The history, if it is free. Danger: its thread may be writing, and a file that is slow would hold up traffic; neither is
-    /// waited for.
+    /// Calls `by` with the history if it is free. Its thread may be writing and its file may be slow; waiting for either
+    /// would delay live traffic.
     pub(super) fn try_with_history<T>(
         &mut self, now: Micros, by: impl FnOnce(&mut Core, &mut Keeper) -> T,
     ) -> Result<T, HistoryUnavailable> {
@@ -189,7 +204,7 @@
         Ok(by(self, keeper))
     }
 
-    /// The same as [`Core::try_with_replay_context`] for whoever has it; `None`: it is closed.
+    /// As [`Core::try_with_replay_context`], for a caller that already has the history; `None` if it is closed.
     pub(super) fn with_replay_context<T>(
         &mut self, keeper: &mut Keeper, by: impl FnOnce(&mut History, Life, &World, &mut Vec<Run>) -> T,
     ) -> Option<T> {
@@ -198,14 +213,14 @@
         let (history, hearing) = keeper.both()?;
         let Replays { classes, runs, .. } = replays;
         let effect = |class| effect(classes, class);
-        let group = |dest, backend: &str, class| group(classes, register, dest, backend, class);
+        let group = |dest, backend: &str, class| has_key_group(classes, register, dest, backend, class);
         let world = World { effect: &effect, group: &group };
         let life = Life { hearing, number: hearing.life(), again_after };
         Some(by(history, life, &world, runs))
     }
 
-    /// Into the module, as a message that is handed in, or as one that an earlier life may have sent.
-    fn let_in(&mut self, now: Micros, order: &Order, number: u64) {
+    /// Passes a message to the decision module: as a new message, or as one that an earlier process may have sent.
+    fn admit_replay(&mut self, now: Micros, order: &Order, number: u64) {
         let id = order.id();
         let found = self.try_with_replay_context(now, |history, _, world, _| {
             let item = history.item(number, world)?;
@@ -225,10 +240,10 @@
         let begun = item.claims.get(&id).map_or(item.first, |claim| claim.at());
         if let Effect::Keyed { window, group } = item.effect {
             if now < begun + window && item.group {
-                // Danger: behind the end of the window the endpoints would take a repeat for a new one.
-                due = due.min(begun + window.scale(0.98));
-                // Where not all of them remember the key the module must know which do. It then counts as a repeat, of which
-                // the module sends few where little else is sent.
+                // After the end of the window the endpoints would treat a repeat as a new message.
+                due = due.min(begun + window.scale(USABLE_WINDOW_FRACTION));
+                // If not all endpoints remember the key, the decision module must know which do. The call then counts as a
+                // repeat, and the module limits repeats in proportion to the other calls.
                 if group != DedupGroup::All && !kept.first.1.is_empty() {
                     risk = Some((begun, self.endpoint_id(kept.front, &kept.first.1)));
                 }
@@ -262,7 +277,7 @@
             waiting_batch: None,
         };
         self.messages.insert(msg, held);
-        self.replays.ones.insert(msg, One { order: id, number, claimed: false, passed: false });
+        self.replays.active.insert(msg, ActiveReplay { order: id, number, claimed: false, expired: false });
         let message = policy_message(msg, &req);
         let event = match risk {
             Some(_) => Event::Resumed { message, attempts: 1, first_uncertain: risk },
@@ -272,24 +287,27 @@
         let goes = self.messages.get(&msg).is_some_and(|held| held.in_flight)
             && !self.waiting_fetches.contains_key(&msg);
         if !goes {
-            // Danger: each try counts as demand of its tenant; the destination may be out for long.
-            self.replays.quiet_until = self.replays.quiet_until.max(now + PUT_OFF);
-            self.withdraw(now, msg);
+            // Each try counts as demand of its tenant, and an outage of the destination may last long: without a pause
+            // the tries would add up to a large demand.
+            self.replays.paused_until = self.replays.paused_until.max(now + NOT_STARTED_PAUSE);
+            self.withdraw_replay(now, msg);
         }
     }
 
-    /// It could not go at once, or not any more: it leaves the module.
-    fn withdraw(&mut self, now: Micros, msg: u64) {
+    /// Removes a replay from the decision module that could not be sent at once, or may not be sent any more.
+    fn withdraw_replay(&mut self, now: Micros, msg: u64) {
         let mut events: Vec<Event> = self.leave_waiting_line(msg).into_iter().collect();
         events.push(Event::Withdrawn(MessageId(msg)));
-        self.settle(now, msg, None);
+        self.remove_replay(now, msg, None);
         self.feed(now, &events, &mut []);
     }
 
-    /// The last look, and the claim. Danger: from here on it may have run.
+    /// The last check before the first byte, and the claim. Once claimed, the message may have taken effect.
     pub(super) fn claim_replay(&mut self, now: Micros, msg: u64) -> bool {
-        let Some(one) = self.replays.ones.get(&msg).filter(|one| !one.claimed) else { return false };
-        let (order, number) = (one.order, one.number);
+        let Some(replay) = self.replays.active.get(&msg).filter(|replay| !replay.claimed) else {
+            return false;
+        };
+        let (order, number) = (replay.order, replay.number);
         let Some(order) =
             self.replays.run_mut(order).filter(|run| !run.stopped()).map(|run| run.order.clone())
         else {
@@ -298,20 +316,20 @@
         let claimed = self.try_with_replay_context(now, |history, life, world, _| {
             history.claim(now, &order, number, world, life)
         });
-        let Some(one) = self.replays.ones.get_mut(&msg) else { return false };
+        let Some(replay) = self.replays.active.get_mut(&msg) else { return false };
         match claimed {
-            Ok(Ok(Ok(_))) => one.claimed = true,
+            Ok(Ok(Ok(_))) => replay.claimed = true,
             Ok(Ok(Err(Not::NotFresh))) => {}
-            Ok(Ok(Err(_))) => one.passed = true,
-            // What can't be claimed is not sent.
+            Ok(Ok(Err(_))) => replay.expired = true,
+            // A message that can't be claimed is not sent.
             Ok(Err(_)) | Err(_) => {}
         }
-        one.claimed
+        replay.claimed
     }
 
-    /// Its one call is over.
-    pub(super) fn finish_replay(&mut self, now: Micros, over: FinishedFetch, events: &mut Vec<Event>) {
-        let FinishedFetch { fetch, end, latency, load, .. } = over;
+    /// Processes the end of the one call of a replay.
+    pub(super) fn finish_replay(&mut self, now: Micros, finished: FinishedFetch, events: &mut Vec<Event>) {
+        let FinishedFetch { fetch, end, latency, load, .. } = finished;
         let outcome = match end {
             End::Delivered => Outcome::Ok,
             End::Failed => Outcome::Error,
@@ -327,7 +345,7 @@
             self.record_wait(now, fetch.req.front, fetch.req.dest, wait);
         }
         if matches!(end, End::TurnedAway(_)) {
-            self.replays.quiet_until = self.replays.quiet_until.max(now + AWAY);
+            self.replays.paused_until = self.replays.paused_until.max(now + TURNED_AWAY_PAUSE);
         }
         let mut more = Vec::new();
         self.record_call_end(now, &fetch, end.for_trust(), &mut more);
@@ -335,25 +353,27 @@
         events.push(returned_event(&fetch, outcome, terminal, latency, load));
         events.push(Event::Withdrawn(MessageId(fetch.msg)));
         events.append(&mut more);
-        self.settle(now, fetch.msg, Some(end));
+        self.remove_replay(now, fetch.msg, Some(end));
     }
 
-    /// It is out of the module: its claim is closed, or was never needed.
-    fn settle(&mut self, now: Micros, msg: u64, end: Option<End>) {
-        let Some(One { order, number, claimed, passed }) = self.replays.ones.remove(&msg) else { return };
+    /// Removes a replay that has left the decision module, and closes its claim if it had one.
+    fn remove_replay(&mut self, now: Micros, msg: u64, end: Option<End>) {
+        let Some(ActiveReplay { order, number, claimed, expired }) = self.replays.active.remove(&msg) else {
+            return;
+        };
         self.drop_msg(msg);
-        // Danger: a claim that can't be closed stands for one that may have run.
+        // If the claim can't be closed, the message counts as one that may have taken effect.
         let ran =
             claimed && end.is_some_and(|end| end.may_have_run() || matches!(end, End::Over | End::Rejected));
         let taken = end == Some(End::Delivered);
-        self.replays.closing.push(Closing { order, number, claimed, passed, ran, taken });
+        self.replays.unclosed.push(FinishedReplay { order, number, claimed, expired, ran, taken });
         self.close_claims(now);
     }
 
-    /// What waited for the history to be free. Until then its run counts it as out.
+    /// Closes the claims of finished replays as far as the history is free. Until then a run counts them as in flight.
     fn close_claims(&mut self, now: Micros) {
-        for one in std::mem::take(&mut self.replays.closing) {
-            let Closing { order, number, claimed, passed, ran, taken } = one;
+        for replay in std::mem::take(&mut self.replays.unclosed) {
+            let FinishedReplay { order, number, claimed, expired, ran, taken } = replay;
             let known = self.replays.run_mut(order).map(|run| run.order.clone());
             if let Some(order) = known.filter(|_| claimed) {
                 let closed = self.try_with_replay_context(now, |history, _, _, _| match ran {
@@ -361,12 +381,12 @@
                     false => history.unclaim(&order, number),
                 });
                 if matches!(closed, Err(HistoryUnavailable::Busy)) {
-                    self.replays.closing.push(one);
+                    self.replays.unclosed.push(replay);
                     continue;
                 }
             }
             let Some(run) = self.replays.run_mut(order) else { continue };
-            match (passed, ran) {
+            match (expired, ran) {
                 (true, _) => run.passed_by(number),
                 (_, true) => run.ended(number, taken),
                 _ => run.put_back(number),
