--- a/src/core/message_lookup.rs
+++ b/src/core/message_lookup.rs
@@ -1,4 +1,4 @@
-//! What operators' questions look up at the core: where a message is, and what is held. One look-up or one copy under the lock.
+//! Lookups for operators: where a message is, and which messages are held. Each takes one lookup or one copy under the lock.
 
 use super::{Core, Courier};
 use crate::admin::figures::Ended;
@@ -6,23 +6,23 @@
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
-/// Bytes of ids of ended messages that are remembered at the most, and what one takes beside its id.
+/// Most bytes taken by the outcomes of ended messages, and the bytes that one takes beside its id.
 const MAX_OUTCOME_BYTES: usize = 4 << 20;
 const OUTCOME_OVERHEAD_BYTES: usize = 128;
 
-/// What a held message is at.
+/// The state of a held message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HeldState {
     /// Waiting to be sent.
     Waiting,
-    /// A call is out, or waits for its turn.
+    /// A call is in flight, or waits for its turn.
     InFlight,
-    /// Its end is decided, and its client has not been told yet.
+    /// Its end is decided, and its client has not been notified yet.
     NoticePending,
 }
 
 impl HeldState {
-    /// Its word in answers.
+    /// Its name in answers to operators.
     pub fn label(self) -> &'static str {
         match self {
             HeldState::Waiting => "held",
@@ -32,7 +32,7 @@
     }
 }
 
-/// A held message, as far as questions go.
+/// The properties of a held message that lookups return.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeldMessage {
     /// Number of its destination.
@@ -41,41 +41,41 @@
     pub class: u16,
     /// Its tenant, by position in the settings.
     pub tenant: u16,
-    /// What it is at.
+    /// Its state.
     pub state: HeldState,
 }
 
 /// Where a message is.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MessageLocation {
-    /// It is held here.
+    /// This courier holds it.
     Held {
-        /// What, and for whom.
+        /// Its destination, class, tenant and state.
         message: HeldMessage,
-        /// Calls of it that have begun.
+        /// Number of calls that have begun for it.
         attempts: u8,
         /// Its deadline, since 1970.
         deadline: Micros,
-        /// Where the call that is out went.
+        /// The backend of the call in flight.
         backend: Option<String>,
     },
-    /// It has ended in this life of the process.
+    /// It has ended during this process run.
     Ended {
-        /// How.
+        /// How it ended.
         how: Ended,
-        /// When, since 1970.
+        /// When it ended, since 1970.
         at: Micros,
     },
-    /// It has ended and may have taken effect; no more is known of it.
+    /// It has ended and may have taken effect; only its id is still known.
     KnownDuplicate,
-    /// It was never here, or that is forgotten.
+    /// It was never here, or has been forgotten.
     Unknown,
 }
 
-/// Ids of messages that ended lately, and how.
+/// Outcomes of recently ended messages, by id.
 #[derive(Debug, Default)]
 pub(super) struct RecentOutcomes {
-    /// None are kept where nobody may ask.
+    /// Nothing is recorded where lookups are off.
     enabled: bool,
     outcomes_by_id: HashMap<Arc<str>, (Ended, Micros)>,
     oldest_first: VecDeque<(Arc<str>, Micros)>,
@@ -95,11 +95,11 @@
         self.bytes += id.len() + OUTCOME_OVERHEAD_BYTES;
         self.outcomes_by_id.insert(id.clone(), (how, now));
         self.oldest_first.push_back((id, now));
-        // Danger: without a bound every id that ever came would stay.
+        // Without a bound every id that was ever submitted would stay in memory.
         while self.bytes > MAX_OUTCOME_BYTES {
             let Some((id, at)) = self.oldest_first.pop_front() else { return };
             self.bytes -= id.len() + OUTCOME_OVERHEAD_BYTES;
-            // One that was handed in again, and ended again, is younger than this entry.
+            // A message that was submitted and ended again has a later outcome than this entry.
             if self.outcomes_by_id.get(&id).is_some_and(|(_, ended)| *ended == at) {
                 self.outcomes_by_id.remove(&id);
             }
