--- a/src/register/calls.rs
+++ b/src/register/calls.rs
@@ -38,9 +38,7 @@
             self.timers.insert((until, name.to_owned()));
         }
         if end == CallEnd::Refused && self.held.remove(name).is_some() {
-            effects.log_lines.push(format!(
-                "backend {name} is gone: it is missing from discovery's list and refused a call"
-            ));
+            effects.log_lines.push(format!("backend {name} is gone: it was held, and refused a call"));
         }
         if report == CallReport::AsUnsent {
             effects.rejected = self.trust.get_mut(name).map_or(Vec::new(), |trust| trust.drain_queue());
