--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,8 @@
-//! The core: a small blocking facade round the decision module, and the one owner of it. It knows no wire.
+//! The core: a small blocking facade around the decision module, which it alone owns. It knows no wire
+//! protocol.
 //!
-//! [`Courier::report`] takes in what happened and answers at once, [`Courier::pick`] blocks until the next order,
-//! [`Courier::tick`] moves time. The fronts see reqs, fetches and verdicts, never the module's events or actions.
+//! [`Courier::report`] processes a report and answers at once, [`Courier::pick`] blocks until the next order, and
+//! [`Courier::tick`] advances time. The fronts see reqs, fetches and verdicts, never the module's events or actions.
 
 mod admission;
 pub mod attempt_log;
@@ -46,29 +47,29 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// What the operators settled for the core.
+/// Options of the core.
 #[derive(Default)]
 pub struct Options {
-    /// For the register.
+    /// Rules of the register.
     pub register: RegistryRules,
-    /// Where drains are written down; `None`: none can be asked for.
+    /// Folder in which drains are stored. If `None`, no drain can be requested.
     pub drain_dir: Option<PathBuf>,
-    /// The class of what the courier hands in itself to tell an end, as bounces are: a drain lets it in and does not end
-    /// it, else an end would go untold.
+    /// The class of messages that the courier submits itself to report an outcome, such as bounces. A drain admits them
+    /// and does not end them, because the outcome that they report would otherwise never be delivered.
     pub own_class: Option<u16>,
-    /// Endpoints that are left out by hand; `None`: none can be.
+    /// Administrative overrides that exclude endpoints. If `None`, no endpoint can be excluded.
     pub overrides: Option<Arc<Hand>>,
-    /// What the process passed that served until now.
+    /// State handed over by the process that served before this one.
     pub handed_over: Option<HandoverState>,
-    /// Where what the next life must know is written down; `None`: nowhere.
+    /// Folder for the state that the next process run needs. If `None`, that state is not stored.
     pub memory_dir: Option<PathBuf>,
-    /// How messages ended is remembered, for questions.
+    /// Whether the outcomes of ended messages are kept for lookups.
     pub record_outcomes: bool,
-    /// Where ended messages are kept; `None`: nowhere.
+    /// Store of ended messages. If `None`, they are not kept.
     pub history: Option<Keeper>,
 }
 
-/// A fetch that is over.
+/// A finished fetch and its result.
 struct FinishedFetch {
     fetch: Fetch,
     end: End,
@@ -77,27 +78,28 @@
     said: String,
 }
 
+/// A message whose end has not been reported and recorded yet.
 struct PendingMessage {
     req: Arc<Req>,
     attempts: u8,
-    /// Orders that wait for the req's answer to be written. Danger: a fetch that began first would deliver a
-    /// message that its client has not heard of.
+    /// Orders that wait until the req's answer is written. If a fetch began before that, it would deliver a message
+    /// whose acceptance the client has not been notified of.
     orders_after_answer: Option<Vec<Order>>,
-    /// What began it was over before: only a notice or an outcome is still due.
+    /// The message's end is decided; only its notice or outcome is still due.
     decided: bool,
-    /// Somebody else who handed it in was told that it is taken on.
+    /// Another client submitted the same message and was notified that it is accepted.
     accepted_from_other_client: bool,
-    /// A call is ordered, out, or waits for its turn.
+    /// A call is ordered, in flight, or waiting for its turn.
     in_flight: bool,
-    /// An earlier process may have sent it.
+    /// The message was resumed, and an earlier process may have sent it.
     resumed_may_have_run: bool,
-    /// The batch that waits for this one's answer to be written.
+    /// The batch that waits until this message's answer is written.
     waiting_batch: Option<u64>,
 }
 
-/// The one owner of all that is decided: the module, the journal, the register, the messages owed. It reads no clock and
-/// waits for nothing; whoever drives it says what time it is and carries out its orders. [`Courier`] shares one among
-/// threads; an emulator drives as many as it likes in a time of its own.
+/// The single owner of the decision module, the journal, the register and the pending messages. It reads no clock and
+/// never blocks: its caller passes the current time and carries out its orders. [`Courier`] shares one core among
+/// threads; an emulator can drive any number of cores in virtual time.
 pub struct Core {
     policy: Box<dyn DecisionEngine>,
     journal: Journal,
@@ -109,29 +111,30 @@
     backends: BTreeMap<EndpointId, Arc<Backend>>,
     endpoint_ids: HashMap<(u8, String), EndpointId>,
     next_endpoint_number: u32,
-    /// Backends that have gone, and when: forgotten once no message remembers them.
+    /// Removed backends and the time of removal. They are forgotten once no message can refer to them.
     removed_backends: VecDeque<(Micros, u8, Arc<Backend>)>,
-    /// Which backends are listed, by whom, and how far they are trusted.
+    /// The listed backends, the source of each and how far each is trusted.
     register: Registry,
     batches: Batches,
-    /// Fetches that wait for their turn at a backend that is not fully trusted, with their time-outs.
+    /// Fetches that wait for their turn at a backend that is not fully trusted, with their timeouts.
     waiting_fetches: BTreeMap<u64, (Fetch, Micros)>,
     draining: Draining,
     neighbours: ProbesAndNotes,
     sharing_state: sharing::FleetExchange,
     mode: Ownership,
-    /// Until when a destination is to be left alone by answers that are not read to their end yet. The module hears of a
-    /// wait with the whole answer; by then this is over or repeats it.
+    /// Until when each destination must not be called, according to answers that are not completely read yet. The
+    /// decision module is notified of a wait with the complete answer; by then the wait here has expired or is the same
+    /// as the one that the module receives.
     destination_waits: Waits,
     memory_file: MemoryFile,
-    /// Ended messages; `None`: they are not kept.
+    /// Feeds ended messages to their store. If `None`, they are not kept.
     history: Option<history_feed::HistoryFeed>,
-    /// What of them is being sent again.
+    /// Ended messages that are being sent again.
     replays: Replays,
-    /// Calls that the process before carries out to their end.
+    /// Fetches that the previous process carries out to their end.
     predecessor_fetches: BTreeMap<u64, Fetch>,
     overrides: Option<Arc<Hand>>,
-    /// The version of it that holds here.
+    /// The version of the overrides that is applied here.
     overrides_version: u64,
     figures: Figures,
     recent_outcomes: message_lookup::RecentOutcomes,
@@ -142,44 +145,47 @@
 }
 
 const TICK_INTERVAL_US: u64 = 5_000;
-/// Endpoints are counted again so often, though nothing was told of them: the module may avoid another.
+/// Interval at which the endpoints are counted again even if no list changed, because the decision module may have
+/// ejected another endpoint.
 const MEMBER_COUNT_INTERVAL: Micros = Micros(100_000);
-/// The front whose list says whether the instance calls itself ready.
+/// The front whose list decides whether the instance reports itself ready.
 const PLATFORM_FRONT: u8 = 0;
-/// A fetch that begins this shortly before the end would be cut off.
+/// Minimum time left before the process stops or a drain ends for a fetch to begin. A later one would be cut off.
 const MIN_TIME_TO_BEGIN: Micros = Micros(700_000);
-/// How long a client is told to stay away where the module has said nothing.
+/// Retry delay given to clients if the decision module has given none.
 const DEFAULT_RETRY_AFTER: Micros = Micros(1_000_000);
 
 impl Core {
-    /// A core that decides by the module, and its orders. What the journal says is owed is taken up.
+    /// Creates a core with the default decision module, and the queue of its orders. The messages that the journal
+    /// lists as pending are resumed.
     pub fn new(
         settings: Settings, seed: u64, now: Micros, journal: Journal, options: Options,
     ) -> (Core, Receiver<Order>) {
-        let sender = Box::new(Sender::new(settings.clone(), seed));
-        Core::with_policy(sender, &settings, seed, now, journal, options)
+        let policy = Box::new(Sender::new(settings.clone(), seed));
+        Core::with_policy(policy, &settings, seed, now, journal, options)
     }
 
-    /// The same with another module.
+    /// Like [`Core::new`], with the given decision module.
     pub fn with_policy(
-        sender: Box<dyn DecisionEngine>, settings: &Settings, seed: u64, now: Micros, journal: Journal,
+        policy: Box<dyn DecisionEngine>, settings: &Settings, seed: u64, now: Micros, journal: Journal,
         options: Options,
     ) -> (Core, Receiver<Order>) {
         let effects = settings.classes.iter().map(|c| c.effect).collect();
-        let longest = settings.limits.max_retry_after;
-        let draining = Draining::new(options.drain_dir.as_deref(), effects, longest, options.own_class);
-        let (out, orders) = crossbeam_channel::unbounded();
-        let next_msg = journal.owed().keys().next_back().map_or(0, |m| m + 1).max(now.0);
+        let max_retry_after = settings.limits.max_retry_after;
+        let draining =
+            Draining::new(options.drain_dir.as_deref(), effects, max_retry_after, options.own_class);
+        let (order_sender, orders) = crossbeam_channel::unbounded();
+        let next_message = journal.owed().keys().next_back().map_or(0, |m| m + 1).max(now.0);
         let batches = Batches::new(settings.kinds.iter().map(|k| k.max_batch_size).collect());
-        let max_open = settings.limits.max_open.map_or(usize::MAX, |m| m as usize);
+        let max_pending = settings.limits.max_open.map_or(usize::MAX, |m| m as usize);
         let mut core = Core {
-            policy: sender,
+            policy,
             journal,
-            order_sender: out,
+            order_sender,
             messages: BTreeMap::new(),
             messages_by_id: HashMap::new(),
-            next_message: next_msg,
-            max_pending: max_open,
+            next_message,
+            max_pending,
             backends: BTreeMap::new(),
             endpoint_ids: HashMap::new(),
             next_endpoint_number: 1,
@@ -207,28 +213,28 @@
         };
         core.open_history(now, options.history);
         core.apply_overrides(now);
-        let mut passed = options.handed_over;
-        passed.iter_mut().for_each(|passed| core.import_handover(passed));
-        core.restore_memory(now, passed.is_some());
-        core.resume(now, passed.as_ref());
+        let mut handover = options.handed_over;
+        handover.iter_mut().for_each(|state| core.import_handover(state));
+        core.restore_memory(now, handover.is_some());
+        core.resume(now, handover.as_ref());
         core.apply_due_drains(now, true);
         (core, orders)
     }
 
-    /// As [`Courier::hand_in`].
+    /// See [`Courier::hand_in`].
     pub fn hand_in(&mut self, now: Micros, reqs: Vec<Req>) -> Vec<Answer> {
         self.admit(now, reqs)
     }
 
-    /// As [`Courier::answered`].
+    /// See [`Courier::answered`].
     pub fn answered(&mut self, now: Micros, written: &[(u64, bool)]) {
         for (msg, written) in written {
-            let what = if *written { Report::Answered(*msg) } else { Report::Withdrawn(*msg) };
-            self.report(now, what);
+            let report = if *written { Report::Answered(*msg) } else { Report::Withdrawn(*msg) };
+            self.report(now, report);
         }
     }
 
-    /// Moves time; says when it wants to be called again at the latest.
+    /// Advances time. Returns the latest time at which it must be called again.
     pub fn tick(&mut self, now: Micros) -> Micros {
         if !self.is_active() {
             return now + Micros(TICK_INTERVAL_US);
@@ -239,8 +245,8 @@
             self.next_member_count_at = now + MEMBER_COUNT_INTERVAL;
             self.update_member_counts();
         }
-        for (front, news) in self.register.tick(now) {
-            self.apply_list_change(now, front, news, Vec::new());
+        for (front, effects) in self.register.tick(now) {
+            self.apply_list_change(now, front, effects, Vec::new());
         }
         if self.draining.next_at().is_some_and(|at| at <= now) {
             self.apply_due_drains(now, false);
@@ -253,68 +259,68 @@
             self.next_timer_at = None;
             self.feed(now, &[Event::TimerElapsed(TimerToken(0))], &mut []);
         }
-        let soon = now + Micros(TICK_INTERVAL_US);
-        self.next_timer_at.map_or(soon, |at| at.min(soon))
+        let next_tick = now + Micros(TICK_INTERVAL_US);
+        self.next_timer_at.map_or(next_tick, |at| at.min(next_tick))
     }
 
-    /// When the module wants to hear of time again, if at all: an emulator need not call [`Core::tick`] before that but for
-    /// the register and drains.
+    /// When the decision module's next timer is due, if one is set. Before that time, an emulator needs to call
+    /// [`Core::tick`] only for the register and drains.
     pub fn next_timer_at(&self) -> Option<Micros> {
         self.next_timer_at
     }
 
-    /// As [`Courier::stop`].
+    /// See [`Courier::stop`].
     pub fn stop(&mut self, at: Micros) {
         self.stop_at = Some(at);
     }
 
-    /// How many messages are owed their end.
+    /// The number of messages whose end is pending.
     pub fn pending_messages(&self) -> usize {
         self.messages.len()
     }
 
-    /// What became of messages, and how things stand.
+    /// Counts of message outcomes and the current state.
     pub fn figures(&mut self) -> &Figures {
         self.figures.pending = self.messages.len().saturating_sub(self.replays.active_count()) as u64;
         &self.figures
     }
 
-    /// Takes in what happened.
-    pub fn report(&mut self, now: Micros, what: Report) -> Answer {
+    /// Processes a report of what happened.
+    pub fn report(&mut self, now: Micros, report: Report) -> Answer {
         if !self.is_active() {
-            return self.report_while_inactive(what);
+            return self.report_while_inactive(report);
         }
-        match what {
+        match report {
             Report::Req(req) => {
                 let answer = self.admit(now, vec![req]).pop();
                 return answer.unwrap_or_else(|| Answer::Refused(self.default_retry_after()));
             }
-            // Danger: a client that goes before its answer takes the message of another with it, who handed in the same
-            // and was told that it is taken on.
+            // A client that disconnects before its answer withdraws its message, unless another client submitted the
+            // same message and was notified that it is accepted: withdrawing it would lose that client's message.
             Report::Withdrawn(msg)
                 if !self.messages.get(&msg).is_some_and(|m| m.accepted_from_other_client) =>
             {
                 self.withdraw_unanswered(now, msg)
             }
             Report::Answered(msg) | Report::Withdrawn(msg) => {
-                let held = self.messages.get_mut(&msg);
-                let (parked, joins) =
-                    held.map_or((None, None), |m| (m.orders_after_answer.take(), m.waiting_batch.take()));
-                for order in parked.into_iter().flatten() {
+                let message = self.messages.get_mut(&msg);
+                let (deferred_orders, waiting_batch) =
+                    message.map_or((None, None), |m| (m.orders_after_answer.take(), m.waiting_batch.take()));
+                for order in deferred_orders.into_iter().flatten() {
                     match order {
                         Order::Notice(notice) => self.send_notice(now, notice),
                         order => self.order(order),
                     }
                 }
-                joins.into_iter().for_each(|batch| self.batch_answer_resolved(batch));
+                waiting_batch.into_iter().for_each(|batch| self.batch_answer_resolved(batch));
             }
             Report::Begin(fetch) => return Answer::MayBegin(self.begin_fetch(now, &fetch)),
             Report::RetryAfter { front, dest, wait } => {
                 self.record_wait(now, front, dest, wait);
                 self.write_memory_if_due(now);
             }
-            Report::Done { fetch, end, latency, load, reply: said } => {
-                self.fetches_done(now, vec![FinishedFetch { fetch, end, latency, load, said }]);
+            Report::Done { fetch, end, latency, load, reply } => {
+                self.fetches_done(now, vec![FinishedFetch { fetch, end, latency, load, said: reply }]);
             }
             Report::NoticeDelivered(msg) => {
                 let (ended, how) = match self.journal.owed().get(&msg).and_then(|owed| owed.verdict) {
@@ -324,24 +330,25 @@
                 self.finish_message(now, msg, ended, how, None);
                 self.queue_ended_messages();
             }
-            Report::List { front, update: word } => {
-                if let Some(hand) = &self.overrides {
-                    hand.listed(word.records.iter().map(|line| line.name.as_str()));
+            Report::List { front, update } => {
+                if let Some(overrides) = &self.overrides {
+                    overrides.listed(update.records.iter().map(|line| line.name.as_str()));
                 }
-                // Discovery has answered, if only that nothing has changed: the module hears that too.
-                let answered = (word.source == Source::Discovery).then(|| Event::ListChange(Vec::new()));
-                let news = self.register.front_mut(front, now).apply_update(now, word);
-                self.apply_list_change(now, front, news, answered.into_iter().collect());
+                // The decision module is notified of every answer of discovery, even if the list has not changed.
+                let discovery_event =
+                    (update.source == Source::Discovery).then(|| Event::ListChange(Vec::new()));
+                let effects = self.register.front_mut(front, now).apply_update(now, update);
+                self.apply_list_change(now, front, effects, discovery_event.into_iter().collect());
             }
             Report::ListUnchanged(front) => {
-                let news = self.register.front_mut(front, now).heartbeat(now);
-                if news != RegistryEffects::default() {
-                    self.apply_list_change(now, front, news, Vec::new());
+                let effects = self.register.front_mut(front, now).heartbeat(now);
+                if effects != RegistryEffects::default() {
+                    self.apply_list_change(now, front, effects, Vec::new());
                 }
             }
             Report::ListFailed(front) => {
-                let news = self.register.front_mut(front, now).watch_failed(now);
-                self.apply_list_change(now, front, news, vec![Event::ListFailed]);
+                let effects = self.register.front_mut(front, now).watch_failed(now);
+                self.apply_list_change(now, front, effects, vec![Event::ListFailed]);
             }
         }
         Answer::Acknowledged
@@ -366,11 +373,11 @@
     Event::Returned { id, endpoint, outcome, terminal, latency, attempt, report }
 }
 
-/// A backend as the fronts reach it.
+/// Name and address of a backend.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Backend {
-    /// Its name in the list, the same at every courier.
+    /// Name in the list, the same at every courier.
     pub name: String,
-    /// Where it listens.
+    /// Address on which it listens.
     pub addr: SocketAddr,
 }
