--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -1,5 +1,4 @@
-//! Notes between running couriers, and probes of endpoints: the program itself, two at a time, with stand-ins for endpoints and
-//! for neighbours that say anything.
+//! Gossip notes between couriers and probes of endpoints, tested with the real program and with fake endpoints and peers.
 
 mod common;
 mod support;
@@ -185,8 +184,7 @@
     assert!(!forbidden.core.noted(forbidden.now, from, &note));
 }
 
-/// Guards against an endpoint that stays half open for ever, gets a message before it was asked, or is asked while it told to
-/// wait, drains, or has been asked already.
+/// Guards against an endpoint that stays half open, gets a message before a probe, or is probed twice, in a wait or draining.
 #[test]
 fn a_probe_goes_first_and_always_ends() {
     let mut world = world(true, false, &[("s-1", 7)]);
@@ -266,8 +264,7 @@
     second.line_with("heard 1,");
 }
 
-/// Guards against anything but a neighbour's whole and honest note being heeded, and against a flood that takes the courier's
-/// time.
+/// Guards against acting on anything but an intact note from a listed peer, and against a flood that uses the courier's time.
 #[test]
 fn what_is_no_note_of_a_neighbour_changes_nothing_and_is_counted() {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
