--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -198,8 +198,8 @@
     drop(reserved_sockets);
     let nodes: Vec<Node> = (0..3).map(|index| start_node(index, &node_addresses)).collect();
     nodes.iter().zip([1, 10, 100]).for_each(|(n, byte)| n.bytes_to_publish.send(byte).unwrap());
-    for (n, others) in nodes.iter().zip([110, 101, 11]) {
-        until("all bytes of peers", || n.received_sum.load(Ordering::SeqCst) == others);
+    for (n, expected_sum) in nodes.iter().zip([110, 101, 11]) {
+        until("all bytes of peers", || n.received_sum.load(Ordering::SeqCst) == expected_sum);
     }
     let standing_of_third = || nodes[0].peers.shared.as_ref().unwrap().view().fleet.members[2].standing;
     until("published", || standing_of_third() == Standing::Here);
@@ -246,5 +246,5 @@
         let view = n.peers.shared.as_ref().unwrap().view();
         view.fleet.entries.len() == 16 && view.fleet.members.iter().all(|m| m.whole)
     };
-    until("all entries of all", || nodes.iter().all(is_complete));
+    until("every entry at every node", || nodes.iter().all(is_complete));
 }
