--- a/src/core/attempt_log.rs
+++ b/src/core/attempt_log.rs
@@ -1,59 +1,59 @@
-//! Logs and counts what becomes of attempts: taken up from an earlier process, withheld, begun, over.
+//! Logs and counts the states of attempts: resumed from an earlier process, withheld, begun, over.
 //!
-//! Each change of state is a line of the target `attempts` at `debug`. Of messages that an earlier process may have sent it is a line
-//! at `info`: they are few, and may be sent again only within their group and window.
+//! Each change of state is logged to the target `attempts` at `debug`. For messages that an earlier process may have sent
+//! it is logged at `info`: they are few, and may be repeated only within their deduplication group and window.
 
 use super::{Core, End, Fetch, Verdict};
 use crate::api::Micros;
 use crate::store::Owed;
 use serde_json::{json, Value};
 
-/// Why the first byte of an attempt may not go.
+/// Why the first byte of an attempt may not be sent. The variant names are written to logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Withheld {
-    /// Its message has ended, or its end is decided.
+    /// The message has ended, or its outcome is decided.
     MessageOver,
-    /// The process ends too soon.
+    /// The process ends too soon for another attempt.
     ProcessEnds,
-    /// The message's time is up.
+    /// The message's due time has passed.
     TimeUp,
-    /// Its endpoint is not listed as one that takes calls.
+    /// The endpoint is not listed as accepting calls.
     NotListed,
     /// A drain forbids it.
     Drain,
-    /// The destination has told to wait.
+    /// The destination demanded a wait that is not over.
     ToldToWait,
     /// The decision module forbids it.
     Policy,
-    /// The journal could not record it.
+    /// The attempt could not be recorded in the journal or, for a replay, claimed in the history.
     NotRecorded,
 }
 
 /// Counts of attempts since the process began.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct AttemptCounts {
-    /// Messages taken up that no process had called.
+    /// Resumed messages of which no process had begun a call.
     pub resumed_untried: u64,
-    /// Messages taken up whose calls surely never ran.
+    /// Resumed messages whose earlier calls certainly never ran.
     pub resumed_never_ran: u64,
-    /// Messages taken up of which a call may have run.
+    /// Resumed messages of which an earlier call may have run.
     pub resumed_may_have_run: u64,
-    /// First bytes that were about to go.
+    /// Attempts whose first byte was about to be sent.
     pub begun: u64,
-    /// First bytes that were not allowed to go.
+    /// Attempts whose first byte was not allowed to be sent.
     pub withheld: u64,
     /// Attempts that ended without a first byte.
     pub not_begun: u64,
-    /// Attempts that surely never ran.
+    /// Attempts that certainly never ran, without those counted as `not_begun`.
     pub never_ran: u64,
     /// Attempts that may have run and were not delivered.
     pub may_have_run: u64,
-    /// Attempts for a message of which an earlier one may have run.
+    /// Attempts for a message of which an earlier attempt may have run.
     pub repeated: u64,
 }
 
 impl AttemptCounts {
-    /// As operators read them.
+    /// The counts as JSON, as shown to operators.
     pub fn json(&self) -> Value {
         json!({
             "resumed": {
@@ -70,7 +70,7 @@
         })
     }
 
-    /// A message of an earlier process is taken up.
+    /// Counts a message that is resumed from an earlier process, and logs it if a call of it may have run.
     pub(super) fn resumed(&mut self, now: Micros, owed: &Owed) {
         let first_call = owed.risk.as_ref().or(owed.open.as_ref());
         let Some((called_at, endpoint)) = first_call else {
@@ -91,10 +91,10 @@
 impl Core {
     /// Whether an earlier process may have sent this message.
     fn sent_by_earlier_process(&self, fetch: &Fetch) -> bool {
-        self.messages.get(&fetch.msg).is_some_and(|held| held.resumed_may_have_run)
+        self.messages.get(&fetch.msg).is_some_and(|message| message.resumed_may_have_run)
     }
 
-    /// The first byte of an attempt is about to go.
+    /// Counts and logs an attempt whose first byte is about to be sent.
     pub(super) fn note_begun(&mut self, now: Micros, fetch: &Fetch) {
         let counts = &mut self.figures.attempts;
         counts.begun += 1;
@@ -113,7 +113,7 @@
         );
     }
 
-    /// The first byte of an attempt may not go.
+    /// Counts and logs an attempt whose first byte may not be sent.
     pub(super) fn note_withheld(&mut self, fetch: &Fetch, why: Withheld) {
         self.figures.attempts.withheld += 1;
         tracing::debug!(
@@ -122,7 +122,7 @@
         );
     }
 
-    /// An attempt is over.
+    /// Counts and logs the end of an attempt.
     pub(super) fn note_over(&mut self, fetch: &Fetch, end: End, latency: Micros) {
         let counts = &mut self.figures.attempts;
         match end {
@@ -142,11 +142,11 @@
         }
     }
 
-    /// The end of a message is decided without delivery.
+    /// Logs that the outcome of a message is decided without delivery.
     pub(super) fn note_verdict(&self, msg: u64, verdict: Verdict) {
-        let Some(held) = self.messages.get(&msg) else { return };
-        let (id, tries) = (&held.req.id, held.attempts);
-        if held.resumed_may_have_run {
+        let Some(message) = self.messages.get(&msg) else { return };
+        let (id, tries) = (&message.req.id, message.attempts);
+        if message.resumed_may_have_run {
             tracing::info!(target: "attempts", %id, tries, ?verdict, "its end is decided, of a message taken up");
         } else {
             tracing::debug!(target: "attempts", %id, tries, ?verdict, "its end is decided");
--- a/src/core/replay_orders.rs
+++ b/src/core/replay_orders.rs
@@ -1,5 +1,6 @@
-//! Orders to send ended messages again: taken on from an operator or from another courier, planned once enough others were heard,
-//! run, stopped, and gone on with after a restart. The core's tick only tries for the history; operators' calls wait for it.
+//! Replay orders: requests to send ended messages again. An order comes from an operator or from a peer courier. It is
+//! planned once enough peers were heard from, then run, and may be stopped; a restarted courier continues it. The core's
+//! tick skips its work while the history is locked; operators' calls wait for the lock.
 
 use super::replaying::HistoryUnavailable;
 use super::{Core, Courier};
@@ -10,41 +11,42 @@
 use crate::history::replay::{plan, Claim, Gate, Item, Order, Plan, Run};
 use std::collections::BTreeMap;
 
-/// Messages of one order.
+/// The number of messages that one plan may include.
 const MAX_MESSAGES_PER_ORDER: usize = 100_000;
-/// Messages of one order that are out at once.
+/// The number of messages of one order that may be in flight at once.
 const MAX_IN_FLIGHT_PER_ORDER: usize = 4;
-/// What is known of orders is looked at so often.
+/// Interval between two updates of all known orders.
 const ORDER_UPDATE_INTERVAL: Micros = Micros(100_000);
-/// Messages that are looked at for a line at most.
+/// The number of remaining messages that are examined when an order's claim line is advanced.
 const MAX_MESSAGES_ADVANCED: usize = 2_048;
 
-/// What an order is like now.
+/// The current state of a replay order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReplayOrderState {
-    /// As the fleet has it.
+    /// The order as all couriers share it.
     pub given: Given,
-    /// This courier's part.
+    /// This courier's progress on it.
     pub part: Part,
-    /// Of what is left, under way.
+    /// The number of remaining messages that are in flight.
     pub in_flight: u64,
-    /// What others last said of their parts.
+    /// The progress that each peer last reported.
     pub reported_by_peers: BTreeMap<u16, Told>,
 }
 
-/// Why an order is not taken on.
+/// Why a replay order is not accepted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ReplayOrderError {
-    /// No history is kept here, or its file can't be written.
+    /// This courier keeps no history, or the history file can't be written.
     HistoryUnavailable,
-    /// See there.
+    /// The list of orders refused it.
     Refused(Refused),
 }
 
 impl Core {
-    /// What is known of orders, and what is to be done about it. While the history is not free, a later tick does it.
+    /// Updates all known orders once per interval. While the history is locked, this is left to a later tick.
     pub(super) fn update_replay_orders(&mut self, now: Micros) {
-        // Danger: a clock that was put back would leave orders alone until it has caught up.
+        // If the clock was set back, the next check lies more than one interval ahead. Without the second condition, orders
+        // would not be updated until the clock has caught up.
         if now < self.replays.next_order_check && self.replays.next_order_check <= now + ORDER_UPDATE_INTERVAL
         {
             return;
@@ -62,7 +64,7 @@
         if history.orders().known.is_empty() && self.replays.runs.is_empty() {
             return;
         }
-        // What can't be put out now is put out later.
+        // Orders whose removal can't be written now are removed by a later update.
         let _ = history.change(|orders| orders.sweep(now));
         let known: Vec<(u64, Given)> =
             history.orders().known.iter().map(|(id, k)| (*id, k.row.given.clone())).collect();
@@ -82,7 +84,7 @@
         let (busy, stops) =
             self.replays.run_mut(id).map_or((false, false), |run| (!run.over(), run.stopped()));
         if busy && !stops {
-            // Given again while it runs: it goes on as it is.
+            // The order was given again while it runs: the run continues unchanged.
             self.replays.planned.insert(id, turn);
         }
         let ready = keeper.both().is_some_and(|(history, hearing)| {
@@ -96,7 +98,7 @@
         record_part(keeper, id, part);
     }
 
-    /// Plans an order, and begins it if it is to be run.
+    /// Plans an order, and starts its run unless only a plan was requested.
     fn start_order(&mut self, now: Micros, keeper: &mut Keeper, id: u64, given: &Given) {
         let Some((plan, taken, refused)) = self.plan(now, keeper, &given.order) else { return };
         self.replays.planned.insert(id, (given.turn, given.go));
@@ -113,7 +115,7 @@
         record_part(keeper, id, part);
     }
 
-    /// This courier's part as it is now.
+    /// This courier's current progress on an order.
     fn current_part(&mut self, keeper: &Keeper, id: u64, given: &Given) -> Part {
         let known = keeper.history().and_then(|h| h.orders().known.get(&id));
         let mut part = known.map(|known| known.part.clone()).unwrap_or_default();
@@ -140,18 +142,19 @@
         part
     }
 
-    /// What goes by a line that others keep is told to them before it goes.
+    /// Advances the claim line of an order: messages that ended up to the line may be claimed. Enough peers must hold a
+    /// new line before any message between the old and the new line is sent.
     fn announce_progress(&mut self, keeper: &mut Keeper, id: u64) {
         let Some((history, _)) = keeper.both() else { return };
         let run = self.replays.runs.iter().find(|run| run.order.id() == id && !run.stopped());
         let Some(run) = run.filter(|_| history.orders().advances(id)) else { return };
         let left: Vec<Micros> =
             run.left().take(MAX_MESSAGES_ADVANCED).filter_map(|n| history.ended_at(n)).collect();
-        // What can't be written is not told, and nothing beyond it goes.
+        // A line that can't be written is not announced, and no message beyond the old one is sent.
         let _ = history.change(|orders| orders.advance(id, left.into_iter()));
     }
 
-    /// A plan, and how many were taken and not taken before.
+    /// Returns a plan, and how many messages this order has already sent that the partner accepted and did not accept.
     fn plan(&mut self, now: Micros, keeper: &mut Keeper, order: &Order) -> Option<(Plan, usize, usize)> {
         let id = order.id();
         self.with_replay_context(keeper, |history, life, world, _| {
@@ -168,24 +171,24 @@
 
     fn order_state(&mut self, keeper: &Keeper, id: u64) -> Option<ReplayOrderState> {
         let known = keeper.history()?.orders().known.get(&id)?.clone();
-        let out = self.replays.run_mut(id).map_or(0, |run| run.progress().out as u64);
+        let in_flight = self.replays.run_mut(id).map_or(0, |run| run.progress().out as u64);
         Some(ReplayOrderState {
             given: known.row.given,
             part: known.part,
-            in_flight: out,
+            in_flight,
             reported_by_peers: known.told,
         })
     }
 
-    /// Changes what is known of orders, and does at once what follows.
+    /// Changes the known orders, and updates all of them at once.
     fn change_orders<T>(
-        &mut self, now: Micros, keeper: &mut Keeper, by: impl FnOnce(&mut Orders) -> T,
+        &mut self, now: Micros, keeper: &mut Keeper, change: impl FnOnce(&mut Orders) -> T,
     ) -> Option<T> {
         let (history, _) = keeper.both()?;
-        let out = history.change(by).ok();
+        let result = history.change(change).ok();
         self.update_all_orders(now, keeper);
         self.replays.next_order_check = now + ORDER_UPDATE_INTERVAL;
-        out
+        result
     }
 }
 
@@ -197,31 +200,31 @@
 }
 
 impl Courier {
-    /// Danger: the history is waited for first, then the core; never the other way round. `None`: there is none, or another process
-    /// has it or is about to.
+    /// Locks the history first and the core second; the reverse order could deadlock with this one. `None`: there is no
+    /// history, or another process has it or is about to take it over.
     fn with_replay_orders<T>(
-        &self, by: impl FnOnce(&mut Core, &mut Keeper, Micros) -> Option<T>,
+        &self, action: impl FnOnce(&mut Core, &mut Keeper, Micros) -> Option<T>,
     ) -> Option<T> {
         self.history.as_ref()?.wait(|keeper| {
             let mut state = self.state();
             let now = self.clock.now();
             state.history.as_ref()?;
-            by(&mut state, keeper, now)
+            action(&mut state, keeper, now)
         })?
     }
 
-    /// What an order would do with what this courier holds; the others plan theirs. `None`: it holds no history.
+    /// Plans an order for the messages in this courier's history; peers plan their own. `None`: this courier has no history.
     pub fn replay_plan(&self, order: &Order) -> Option<Plan> {
         self.with_replay_orders(|state, keeper, now| {
             let (plan, ..) = state.plan(now, keeper, order)?;
-            // A plan that finds no room is still this courier's own.
+            // If the list of orders refuses the order, this courier's own plan is returned all the same.
             let _ = state.change_orders(now, keeper, |orders| orders.give(now, order, false));
             Some(plan)
         })
     }
 
-    /// Gives an order: it is kept, told to the others, and run here once enough of them were heard. One that runs goes on as it
-    /// is: it was given twice.
+    /// Accepts an order: it is stored, announced to the peers, and run here once enough of them were heard from. If it is
+    /// running already, it was given twice, and the run continues unchanged.
     pub fn replay_run(&self, order: &Order) -> Result<ReplayOrderState, ReplayOrderError> {
         let given = self.with_replay_orders(|state, keeper, now| {
             let given = state.change_orders(now, keeper, |orders| orders.give(now, order, true))?;
@@ -233,7 +236,7 @@
             .ok_or(ReplayOrderError::HistoryUnavailable)
     }
 
-    /// The orders that are known.
+    /// The states of all known orders.
     pub fn replay_orders(&self) -> Vec<ReplayOrderState> {
         let all = self.with_replay_orders(|state, keeper, _| {
             let known: Vec<u64> = keeper.history()?.orders().known.keys().copied().collect();
@@ -242,12 +245,13 @@
         all.unwrap_or_default()
     }
 
-    /// One of them.
+    /// The state of one order. `None`: it is unknown, or there is no history.
     pub fn replay_order(&self, order: u64) -> Option<ReplayOrderState> {
         self.with_replay_orders(|state, keeper, _| state.order_state(keeper, order))
     }
 
-    /// Nothing more of it begins, here at once and elsewhere when it is heard; `None`: no such order.
+    /// Stops an order: no further message of it is sent, here at once and by peers when they hear of it. `None`: it
+    /// is unknown, or there is no history.
     pub fn replay_stop(&self, order: u64) -> Option<ReplayOrderState> {
         self.with_replay_orders(|state, keeper, now| {
             state.change_orders(now, keeper, |orders| orders.stop(order))?;
--- a/tests/guards.rs
+++ b/tests/guards.rs
@@ -160,8 +160,7 @@
     assert_eq!(attempted_ids(&harness.wait(S)), [2]);
 }
 
-/// Forty messages at forty destinations fail once each. No endpoint is ejected, so only the retry tokens
-/// bound the repeats.
+/// Forty messages to forty destinations fail once each: no ejection, so only retry tokens bound the repeats.
 #[test]
 fn repeats_are_bounded_by_the_retry_budget() {
     let mut set = settings();
@@ -210,8 +209,7 @@
     }
     harness.now += 500_000;
     harness.returns(0, Outcome::Refused(None));
-    // The rate is cut to half of the ten calls of the last second, one call in 0.2 s. Refusals of calls sent
-    // before the cut reduce it no further.
+    // The cut is to half of the last second's ten calls: one in 0.2 s. Refusals of older calls cut no further.
     harness.returns(1, Outcome::Refused(None));
     (2..10).for_each(|id| drop(harness.returns(id, Outcome::Ok)));
     for id in 20..60 {
@@ -274,8 +272,7 @@
     assert_eq!(harness.in_flight.len(), 1, "one trial");
     let id = harness.in_flight[0].id;
     harness.returns(id, Outcome::Ok);
-    // The endpoint begins at 20% of ten calls a second and bears twice that: eight messages in two seconds
-    // would overload it.
+    // It starts at 20% of ten calls a second and bears twice that: eight messages in two seconds overload it.
     let sent = attempted_ids(&harness.wait(2 * S)).len();
     assert!((1..8).contains(&sent), "{sent} calls in the first two seconds");
 }
@@ -330,7 +327,7 @@
 #[test]
 fn events_for_unknown_or_expired_messages_start_no_attempt() {
     let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
-    let expired = Event::Demand(Message {
+    let late = Event::Demand(Message {
         id: MessageId(9),
         destination: DestinationId(7),
         class: ClassId(0),
@@ -338,8 +335,7 @@
         key: None,
         due: Micros(0),
     });
-    let done =
-        harness.feed(vec![Event::Withdrawn(MessageId(77)), Event::AnswerStarted(MessageId(4)), expired]);
+    let done = harness.feed(vec![Event::Withdrawn(MessageId(77)), Event::AnswerStarted(MessageId(4)), late]);
     assert_eq!(answered_ids(&done), [9]);
     assert!(attempted_ids(&done).is_empty());
 }
@@ -362,16 +358,14 @@
     trials
 }
 
-/// Guards against an overload by trials: those of eleven senders together overloaded a destination when it
-/// returned.
+/// Guards against overload by trials: those of eleven senders together overloaded a returning destination.
 #[test]
 fn trials_of_many_senders_are_spaced_further_apart() {
     let (few, many) = (count_trials(2), count_trials(11));
     assert!(many >= 1 && many * 2 < few, "{few} trials by one of two, {many} by one of eleven");
 }
 
-/// Guards against late messages: when each of nine senders kept to a ninth of the limit, the busy ones were
-/// late.
+/// Guards against late messages: with each of nine senders kept to a ninth of the limit, busy ones were late.
 #[test]
 fn the_send_rate_starts_at_half_of_a_known_limit_for_any_number_of_senders() {
     let mut set = settings();
@@ -382,9 +376,8 @@
     assert!(attempted_ids(&harness.wait(S)).len() >= 3);
 }
 
-/// During slow start the allowed rate rises; it does not stay at its initial value.
 #[test]
-fn the_rate_rises_during_slow_start() {
+fn the_rate_rises_above_its_initial_value_during_slow_start() {
     let mut set = settings();
     set.limits.max_open = None;
     let mut harness = SenderHarness::new(set, vec![entry(1, 7)]);
