--- a/tests/earlier_calls.rs
+++ b/tests/earlier_calls.rs
@@ -1,5 +1,6 @@
-//! Calls that an earlier process left without an outcome, against attempts of later processes that never begin. Real processes,
-//! a fault proxy before the partner, kills in series.
+//! Calls of unknown outcome across kills, with real processes and a fault proxy in front of the partner. A first process
+//! is killed during a call; the attempt of a second process fails before its first byte. Guards against a third process
+//! that takes this failure for the outcome of the call and sends the message again after the repeat window.
 
 mod support;
 
@@ -12,23 +13,24 @@
 use support::crowd::*;
 use support::*;
 
-const WINDOW: Duration = Duration::from_millis(6_000);
-const DONE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const OVER: &str = "over, of a message taken up";
-const COURIERS: usize = 3;
-const BACKLOG: i32 = 4;
+const REPEAT_WINDOW: Duration = Duration::from_millis(6_000);
+const OK_REPLY: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+/// Part of the log line that a courier writes when an attempt for a recovered message has ended.
+const RECOVERED_ATTEMPT_ENDED: &str = "over, of a message taken up";
+const COURIER_COUNT: usize = 3;
+const LISTEN_BACKLOG: i32 = 4;
 
-/// The first call of a message hangs, so that it may have run; all later ones are taken.
-fn first_hangs(_id: &str, nth: usize) -> Act {
-    if nth == 1 {
+/// Leaves the first call of a message unanswered, so that it may have run, and answers all later calls with 200.
+fn hang_first_call(_id: &str, call_number: usize) -> Act {
+    if call_number == 1 {
         Act::Hang
     } else {
-        Act::Answer(DONE)
+        Act::Answer(OK_REPLY)
     }
 }
 
-fn fleet(addr: SocketAddr) -> Vec<Site> {
-    let one = |_| {
+fn create_sites(addr: SocketAddr) -> Vec<Site> {
+    let create_site = |_| {
         let mut site = site(256, 64);
         site.list(&[instance("s-3", addr, 3, "up").replace("50.0", "0.0")]);
         site.config["settings"]["weights"] = "off".into();
@@ -36,125 +38,130 @@
         site.config["settings"]["profiles"][0]["repeatWindow"] = 6_000_000.into();
         site
     };
-    (0..COURIERS).map(one).collect()
+    (0..COURIER_COUNT).map(create_site).collect()
 }
 
-fn start_all(fleet: &[Site]) -> Vec<(Program, SocketAddr)> {
-    fleet.iter().map(Site::start).collect()
+fn start_all(sites: &[Site]) -> Vec<(Program, SocketAddr)> {
+    sites.iter().map(Site::start).collect()
 }
 
 fn kill_all(programs: Vec<(Program, SocketAddr)>) {
     programs.into_iter().for_each(|(program, _)| program.kill());
 }
 
-/// How attempts of the second processes fail before their first byte.
-trait Obstacle {
-    fn set(&mut self);
-    fn lift(&mut self);
+/// A fault that makes the attempts of the second processes fail before their first byte.
+trait ConnectFault {
+    fn apply(&mut self);
+    fn remove(&mut self);
 }
 
-/// Connections to the partner are refused.
-struct Refused {
+/// Refuses connections to the partner.
+struct RefusedConnections {
     relay: Relay,
     rule: Option<RuleNo>,
 }
 
-impl Obstacle for Refused {
-    fn set(&mut self) {
+impl ConnectFault for RefusedConnections {
+    fn apply(&mut self) {
         let rule = Rule::new("refused", "couriers>partner", What::Refuse).unwrap();
         self.rule = Some(self.relay.add(rule).unwrap());
     }
 
-    fn lift(&mut self) {
+    fn remove(&mut self) {
         assert!(self.relay.lift(self.rule.take().unwrap()).unwrap());
     }
 }
 
-/// Connections to the partner never come up: it accepts none, and its backlog is full.
-struct NeverUp {
+/// Keeps connections to the partner from being established: it accepts none, and its listen backlog is full.
+struct FullBacklog {
     addr: SocketAddr,
     paused: Arc<AtomicBool>,
-    waiting: Vec<TcpStream>,
+    backlog_connections: Vec<TcpStream>,
 }
 
-impl Obstacle for NeverUp {
-    fn set(&mut self) {
+impl ConnectFault for FullBacklog {
+    fn apply(&mut self) {
         self.paused.store(true, Ordering::SeqCst);
         while let Ok(stream) = TcpStream::connect_timeout(&self.addr, Duration::from_millis(200)) {
-            self.waiting.push(stream);
+            self.backlog_connections.push(stream);
         }
     }
 
-    fn lift(&mut self) {
-        self.waiting.clear();
+    fn remove(&mut self) {
+        self.backlog_connections.clear();
         self.paused.store(false, Ordering::SeqCst);
     }
 }
 
-/// A partner whose accepting can be paused.
-fn pausable() -> (Endpoint, NeverUp) {
+/// Starts a partner whose acceptor can be paused.
+fn pausable_partner() -> (Endpoint, FullBacklog) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-    socket.listen(BACKLOG).unwrap();
+    socket.listen(LISTEN_BACKLOG).unwrap();
     let listener = TcpListener::from(socket);
     listener.set_nonblocking(true).unwrap();
     let addr = listener.local_addr().unwrap();
     let paused = Arc::new(AtomicBool::new(false));
-    let held = paused.clone();
+    let acceptor_paused = paused.clone();
     let accept = move || loop {
-        let accepted = (!held.load(Ordering::SeqCst)).then(|| listener.accept().ok()).flatten();
+        let accepted = (!acceptor_paused.load(Ordering::SeqCst)).then(|| listener.accept().ok()).flatten();
         if let Some((stream, _)) = accepted {
             stream.set_nonblocking(false).unwrap();
             return Some(stream);
         }
         std::thread::sleep(Duration::from_millis(2));
     };
-    (endpoint_of(addr, accept, first_hangs), NeverUp { addr, paused, waiting: Vec::new() })
+    (
+        endpoint_of(addr, accept, hang_first_call),
+        FullBacklog { addr, paused, backlog_connections: Vec::new() },
+    )
 }
 
-/// One message for each courier: its call hangs and the courier is killed; the second process fails to begin a call and is killed;
-/// the third starts when the window is over. Nothing may be sent then.
-fn no_repeat_after_the_window(partner: &Endpoint, addr: SocketAddr, obstacle: &mut dyn Obstacle) {
-    let fleet = fleet(addr);
-    let first = start_all(&fleet);
-    let begun = Instant::now();
-    for (i, (_, addr)) in first.iter().enumerate() {
-        assert_eq!(ask(*addr, api(&format!("m{i}")).as_bytes()).status(), 202);
+/// Hands one message to each courier. Its first call hangs and the courier is killed; the second process fails to begin a
+/// call and is killed; the third starts after the repeat window. Checks that it gives the message up and sends nothing.
+fn check_no_repeat_after_the_window(
+    partner: &Endpoint, partner_addr: SocketAddr, fault: &mut dyn ConnectFault,
+) {
+    let sites = create_sites(partner_addr);
+    let first = start_all(&sites);
+    let started = Instant::now();
+    for (i, (_, courier_addr)) in first.iter().enumerate() {
+        assert_eq!(ask(*courier_addr, api(&format!("m{i}")).as_bytes()).status(), 202);
     }
-    until("the first calls", || (0..COURIERS).all(|i| partner.count(&format!("m{i}")) == 1));
+    until("the first calls", || (0..COURIER_COUNT).all(|i| partner.count(&format!("m{i}")) == 1));
     kill_all(first);
-    obstacle.set();
-    let mut second = start_all(&fleet);
+    fault.apply();
+    let mut second = start_all(&sites);
     for (program, _) in &mut second {
-        program.line_with(OVER);
+        program.line_with(RECOVERED_ATTEMPT_ENDED);
     }
-    assert!(begun.elapsed() < WINDOW, "this machine took so long that the window is over");
+    assert!(started.elapsed() < REPEAT_WINDOW, "this machine was too slow: the repeat window has ended");
     kill_all(second);
-    obstacle.lift();
+    fault.remove();
     std::thread::sleep(
-        (begun + WINDOW + Duration::from_millis(300)).saturating_duration_since(Instant::now()),
+        (started + REPEAT_WINDOW + Duration::from_millis(300)).saturating_duration_since(Instant::now()),
     );
-    let _third = start_all(&fleet);
+    let _third = start_all(&sites);
     until("the ends of all messages", || {
-        let ended = |i: usize| fleet[i].discovery.noticed(&format!("m{i}")).is_some();
-        (0..COURIERS).all(|i| ended(i) || partner.count(&format!("m{i}")) > 1)
+        let ended = |i: usize| sites[i].discovery.noticed(&format!("m{i}")).is_some();
+        (0..COURIER_COUNT).all(|i| ended(i) || partner.count(&format!("m{i}")) > 1)
     });
-    for (i, site) in fleet.iter().enumerate() {
-        assert_eq!(partner.count(&format!("m{i}")), 1, "sent again outside its window");
+    for (i, site) in sites.iter().enumerate() {
+        assert_eq!(partner.count(&format!("m{i}")), 1, "sent again after the repeat window");
         assert_eq!(site.discovery.noticed(&format!("m{i}")).unwrap()["outcome"], "given_up");
     }
 }
 
 #[test]
-fn a_refused_connection_does_not_clear_the_call_of_an_earlier_process() {
-    let partner = endpoint(first_hangs);
+fn a_refused_connection_does_not_settle_the_call_of_an_earlier_process() {
+    let partner = endpoint(hang_first_call);
     let relay = Relay::start(1, Vec::new(), Limits::default()).unwrap();
     let addr = relay.link(LinkName::new("couriers", "partner"), partner.addr).unwrap();
-    no_repeat_after_the_window(&partner, addr, &mut Refused { relay, rule: None });
+    check_no_repeat_after_the_window(&partner, addr, &mut RefusedConnections { relay, rule: None });
 }
 
 #[test]
-fn a_connection_that_never_comes_up_does_not_clear_the_call_of_an_earlier_process() {
-    let (partner, mut never_up) = pausable();
-    no_repeat_after_the_window(&partner, partner.addr, &mut never_up);
+fn a_connection_that_is_never_established_does_not_settle_the_call_of_an_earlier_process() {
+    let (partner, mut full_backlog) = pausable_partner();
+    check_no_repeat_after_the_window(&partner, partner.addr, &mut full_backlog);
 }
--- a/tests/recording.rs
+++ b/tests/recording.rs
@@ -1,5 +1,6 @@
-//! The core while its journal can't be written: it takes nothing on and begins nothing, tells no end that a kill could undo, and
-//! goes on as before once the folder can be written again. No sockets, no clock.
+//! The core while its journal cannot be written, without sockets and without a clock. Guards against a courier that
+//! accepts a message or begins an attempt without a record of it, that sends a notice of an end which a kill could undo,
+//! or that does not resume once the journal directory can be written again.
 
 mod common;
 #[path = "support/faulty_home.rs"]
@@ -14,21 +15,21 @@
 
 const START: Micros = Micros(1_000 * S);
 const DISK: u64 = 3_000_000;
-const DUE: Micros = Micros(20 * S);
+const TIME_TO_DUE: Micros = Micros(20 * S);
 
-struct Life {
+struct ProcessRun {
     core: Core,
     orders: Receiver<Order>,
     now: Micros,
 }
 
-fn life(home: &FaultyHome, now: Micros) -> Life {
+fn start_run(home: &FaultyHome, now: Micros) -> ProcessRun {
     let mut settings = settings();
     settings.classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
     let journal = Journal::at(Box::new(home.clone()), DISK, now).unwrap();
     let (mut core, orders) = Core::new(settings, 1, now, journal, Options::default());
     let addr = "127.0.0.1:9".parse().unwrap();
-    let line = EndpointRecord {
+    let endpoint = EndpointRecord {
         name: "a".into(),
         addr,
         dest: 7,
@@ -40,20 +41,20 @@
     };
     core.report(
         now,
-        Report::List { front: 0, update: ListUpdate::full(Source::Discovery, 0, vec![line], now) },
+        Report::List { front: 0, update: ListUpdate::full(Source::Discovery, 0, vec![endpoint], now) },
     );
-    Life { core, orders, now }
+    ProcessRun { core, orders, now }
 }
 
-impl Life {
-    fn take(&mut self, id: &str, class: u16) -> Answer {
+impl ProcessRun {
+    fn accept(&mut self, id: &str, class: u16) -> Answer {
         let req = Req {
             id: id.into(),
             front: 0,
             dest: 7,
             class,
             tenant: 0,
-            due: START + DUE,
+            due: START + TIME_TO_DUE,
             head: String::new(),
             body: [1, 2][..].into(),
             keep_id: Micros(0),
@@ -65,8 +66,8 @@
         answer
     }
 
-    /// Ticks for this long and says what was ordered meanwhile.
-    fn pass(&mut self, span: Micros) -> Vec<Order> {
+    /// Ticks the core for `span` and returns the orders that it gave meanwhile.
+    fn run_for(&mut self, span: Micros) -> Vec<Order> {
         let until = self.now + span;
         while self.now < until {
             self.now = (self.now + Micros(5_000)).min(until);
@@ -77,108 +78,120 @@
 
     fn next_fetch(&mut self) -> Fetch {
         for _ in 0..2_000 {
-            for order in self.pass(Micros(5_000)) {
+            for order in self.run_for(Micros(5_000)) {
                 if let Order::Fetch(fetch) = order {
                     return fetch;
                 }
             }
         }
-        panic!("nothing is sent");
+        panic!("no fetch was ordered");
     }
 
-    fn done(&mut self, fetch: &Fetch, end: End) {
-        let (fetch, load, said) = (fetch.clone(), Vec::new(), String::new());
-        self.core.report(self.now, Report::Done { fetch, end, latency: Micros(1_000), load, reply: said });
+    fn report_done(&mut self, fetch: &Fetch, end: End) {
+        let (fetch, load, reply) = (fetch.clone(), Vec::new(), String::new());
+        self.core.report(self.now, Report::Done { fetch, end, latency: Micros(1_000), load, reply });
     }
 }
 
-fn notices(orders: &[Order]) -> usize {
+fn count_notices(orders: &[Order]) -> usize {
     orders.iter().filter(|order| matches!(order, Order::Notice(_))).count()
 }
 
 #[test]
-fn nothing_is_taken_on_and_nothing_begins_until_it_can_be_written() {
+fn no_message_is_accepted_and_no_attempt_begins_while_the_journal_cannot_be_written() {
     let home = FaultyHome::default();
-    let mut life = life(&home, START);
-    let Answer::Taken(msg) = life.take("first", 1) else { panic!("it is written") };
-    let fetch = life.next_fetch();
+    let mut run = start_run(&home, START);
+    let Answer::Taken(msg) = run.accept("first", 1) else {
+        panic!("the first message must be recorded and accepted")
+    };
+    let fetch = run.next_fetch();
     assert_eq!(fetch.msg, msg);
     home.fail(Script { part: 5, errno: IO_ERROR, ..Script::default() });
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(false));
-    assert!(matches!(life.take("second", 1), Answer::Refused(_)), "what can't be written is shed");
-    life.done(&fetch, End::NotBegun);
-    let mut tried = 0;
+    assert_eq!(run.core.report(run.now, Report::Begin(fetch.clone())), Answer::MayBegin(false));
+    assert!(
+        matches!(run.accept("second", 1), Answer::Refused(_)),
+        "a message that cannot be recorded is refused"
+    );
+    run.report_done(&fetch, End::NotBegun);
+    let mut tries = 0;
     for _ in 0..3_000 {
-        for order in life.pass(Micros(1_000)) {
+        for order in run.run_for(Micros(1_000)) {
             let Order::Fetch(fetch) = order else { continue };
-            assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(false));
-            life.done(&fetch, End::NotBegun);
-            tried += 1;
+            assert_eq!(run.core.report(run.now, Report::Begin(fetch.clone())), Answer::MayBegin(false));
+            run.report_done(&fetch, End::NotBegun);
+            tries += 1;
         }
     }
-    assert!((10..200).contains(&tried), "{tried} tries in 3 s, where eight are all that there are");
+    assert!((10..200).contains(&tries), "{tries} tries in 3 s; a message has eight attempts in all");
     home.heal();
-    let fetch = life.next_fetch();
-    assert_eq!(fetch.msg, msg, "what was taken on is still owed");
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch)), Answer::MayBegin(true));
-    assert!(matches!(life.take("third", 1), Answer::Taken(_)));
-    assert_eq!(life.core.pending_messages(), 2);
+    let fetch = run.next_fetch();
+    assert_eq!(fetch.msg, msg, "the accepted message is still pending");
+    assert_eq!(run.core.report(run.now, Report::Begin(fetch)), Answer::MayBegin(true));
+    assert!(matches!(run.accept("third", 1), Answer::Taken(_)));
+    assert_eq!(run.core.pending_messages(), 2);
 }
 
 #[test]
-fn an_end_is_told_once_it_is_written() {
+fn a_notice_is_sent_only_once_the_end_is_recorded() {
     let home = FaultyHome::default();
-    let mut life = life(&home, START);
-    assert!(matches!(life.take("first", 0), Answer::Taken(_)));
-    let fetch = life.next_fetch();
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
+    let mut run = start_run(&home, START);
+    assert!(matches!(run.accept("first", 0), Answer::Taken(_)));
+    let fetch = run.next_fetch();
+    assert_eq!(run.core.report(run.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
     home.fail(Script::default());
-    life.done(&fetch, End::Rejected);
-    assert_eq!(notices(&life.pass(Micros(S))), 0, "a kill would undo it");
+    run.report_done(&fetch, End::Rejected);
+    assert_eq!(count_notices(&run.run_for(Micros(S))), 0, "the end is not recorded: a kill would undo it");
     home.heal();
-    assert_eq!(notices(&life.pass(Micros(S / 10))), 1);
-    // The next life tells it again, and delivers nothing.
-    drop(life);
-    let mut next = self::life(&home, START + Micros(3 * S));
-    let orders = next.pass(Micros(S));
-    assert_eq!(notices(&orders), 1);
+    assert_eq!(count_notices(&run.run_for(Micros(S / 10))), 1);
+    // The next run sends the notice again and attempts no delivery.
+    drop(run);
+    let mut next_run = start_run(&home, START + Micros(3 * S));
+    let orders = next_run.run_for(Micros(S));
+    assert_eq!(count_notices(&orders), 1);
     assert!(!orders.iter().any(|order| matches!(order, Order::Fetch(_))));
 }
 
+/// Guards against an overdue notice: after the message's due time no later run would deliver it, so the notice needs no
+/// record of the end.
 #[test]
-fn an_end_is_told_without_its_record_once_its_time_is_up() {
+fn a_notice_is_sent_without_a_record_once_the_message_is_due() {
     let home = FaultyHome::default();
-    let mut life = life(&home, START);
-    assert!(matches!(life.take("first", 0), Answer::Taken(_)));
-    let fetch = life.next_fetch();
-    assert_eq!(life.core.report(life.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
+    let mut run = start_run(&home, START);
+    assert!(matches!(run.accept("first", 0), Answer::Taken(_)));
+    let fetch = run.next_fetch();
+    assert_eq!(run.core.report(run.now, Report::Begin(fetch.clone())), Answer::MayBegin(true));
     home.fail(Script::default());
-    life.done(&fetch, End::Rejected);
-    let left = START + DUE - life.now;
-    assert_eq!(notices(&life.pass(left - Micros(S / 10))), 0);
-    assert_eq!(notices(&life.pass(Micros(S / 5))), 1, "nobody delivers it any more, and it would be overdue");
+    run.report_done(&fetch, End::Rejected);
+    let time_left = START + TIME_TO_DUE - run.now;
+    assert_eq!(count_notices(&run.run_for(time_left - Micros(S / 10))), 0);
+    assert_eq!(
+        count_notices(&run.run_for(Micros(S / 5))),
+        1,
+        "no later run delivers the message, and the notice would be overdue"
+    );
 }
 
-/// What the module turns away as soon as it comes was written down first; while that can't be undone on disk, it is not refused.
+/// A message that the policy refuses on arrival is recorded first. Guards against answering with a refusal while the
+/// journal cannot record its end: after a kill the message would be recovered and delivered.
 #[test]
-fn a_refusal_that_a_kill_could_undo_is_an_acceptance_and_an_end() {
+fn a_refusal_that_cannot_be_recorded_becomes_an_acceptance_and_a_notice() {
     let home = FaultyHome::default();
-    let mut life = life(&home, START);
-    // Nothing is sent, so that the module comes to turn newcomers away.
+    let mut run = start_run(&home, START);
+    // No attempt begins, so the policy refuses new messages after some time.
     let mut refused = None;
     for n in 0..10_000 {
-        // The take is written, what follows is not.
+        // The acceptance is recorded; the writes after it fail.
         let (writes, _) = home.writes();
         home.fail_from(writes + 1);
-        let answer = life.take(&format!("m{n}"), 0);
-        let failed = home.writes().1;
+        let answer = run.accept(&format!("m{n}"), 0);
+        let failed_writes = home.writes().1;
         home.heal();
-        if failed > 0 {
+        if failed_writes > 0 {
             refused = Some(answer);
             break;
         }
     }
-    let Some(answer) = refused else { panic!("the module turns none of them away") };
+    let Some(answer) = refused else { panic!("the policy refused no message") };
     assert!(matches!(answer, Answer::Taken(_)), "{answer:?}");
-    assert_eq!(notices(&life.pass(Micros(S / 10))), 1, "its end is told once it is written");
+    assert_eq!(count_notices(&run.run_for(Micros(S / 10))), 1, "its notice is sent once the end is recorded");
 }
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -1,4 +1,6 @@
-//! Ends of attempts whose first byte never went, against what an earlier process left without an outcome. No sockets.
+//! Attempts that end before their first byte, without sockets. An earlier process may have been killed during a call,
+//! whose outcome is then unknown. Guards against a later attempt that never began being taken for the outcome of that
+//! call: the message would then be sent again although this is no longer allowed.
 
 mod common;
 
@@ -12,34 +14,34 @@
 
 const DISK: u64 = 3_000_000;
 const DEST: u16 = 7;
-/// Of [`keyed`].
-const WINDOW: Micros = Micros(12 * S);
-const BEGIN: Micros = Micros(1_000 * S);
+/// The repeat window of [`keyed`].
+const REPEAT_WINDOW: Micros = Micros(12 * S);
+const START: Micros = Micros(1_000 * S);
 const DUE: Micros = Micros(1_000 * S + 40 * S);
 const KEYED: u16 = 0;
 const UNSAFE: u16 = 1;
 
-/// A process on this folder, at this moment.
+/// Starts a courier on the journal in `dir` at `now`, after a kill or for the first time.
 fn courier(dir: &Path, now: Micros) -> Courier {
     courier_after(dir, now, None)
 }
 
-/// The same behind a process that handed over, if one did.
-fn courier_after(dir: &Path, now: Micros, passed: Option<HandoverState>) -> Courier {
+/// Starts a courier as [`courier`] does, or as the successor of a process that handed over its state.
+fn courier_after(dir: &Path, now: Micros, handed_over: Option<HandoverState>) -> Courier {
     let mut settings = settings();
     settings.classes = vec![class(keyed()), class(Effect::Unsafe)];
-    let succession = if passed.is_some() { Succession::HandOver } else { Succession::Restart };
+    let succession = if handed_over.is_some() { Succession::HandOver } else { Succession::Restart };
     let journal = Journal::open_as(dir, DISK, now, 0, succession).unwrap();
-    let options = Options { handed_over: passed, ..Options::default() };
+    let options = Options { handed_over, ..Options::default() };
     let courier = Courier::new(settings, 1, Clock::at(now), journal, options);
-    list(&courier);
+    report_list(&courier);
     courier
 }
 
-fn list(courier: &Courier) {
+fn report_list(courier: &Courier) {
     let addr = "127.0.0.1:9".parse().unwrap();
     let name = "a".to_owned();
-    let line = EndpointRecord {
+    let endpoint = EndpointRecord {
         name,
         addr,
         dest: DEST,
@@ -49,12 +51,12 @@
         weight: 1.0,
         rank: 0,
     };
-    let word = ListUpdate::full(Source::Discovery, 0, vec![line], courier.clock.now());
-    courier.report(Report::List { front: 0, update: word });
+    let update = ListUpdate::full(Source::Discovery, 0, vec![endpoint], courier.clock.now());
+    courier.report(Report::List { front: 0, update });
 }
 
-/// The next order that concerns a message.
-fn next(courier: &Courier) -> Order {
+/// Returns the next fetch or notice; skips orders that concern connections and lists, and cancelled fetches.
+fn next_fetch_or_notice(courier: &Courier) -> Order {
     loop {
         courier.tick();
         match courier.next_order() {
@@ -64,21 +66,21 @@
     }
 }
 
-fn fetch(courier: &Courier) -> Fetch {
-    match next(courier) {
+fn next_fetch(courier: &Courier) -> Fetch {
+    match next_fetch_or_notice(courier) {
         Order::Fetch(fetch) => fetch,
         other => panic!("{other:?}"),
     }
 }
 
-fn over(courier: &Courier, fetch: Fetch, end: End) {
-    let (latency, load, said) = (Micros(1_000), Vec::new(), String::new());
-    courier.report(Report::Done { fetch, end, latency, load, reply: said });
+fn report_done(courier: &Courier, fetch: Fetch, end: End) {
+    let (latency, load, reply) = (Micros(1_000), Vec::new(), String::new());
+    courier.report(Report::Done { fetch, end, latency, load, reply });
 }
 
-/// A message whose only call was out when its process was killed.
-fn left_out(dir: &Path, class: u16) {
-    let courier = courier(dir, BEGIN);
+/// Leaves a message in the journal whose only call was in flight when its process was killed.
+fn leave_call_in_flight(dir: &Path, class: u16) {
+    let courier = courier(dir, START);
     let req = Req {
         id: "m".into(),
         front: 0,
@@ -90,64 +92,65 @@
         body: [1, 2][..].into(),
         keep_id: Micros(0),
     };
-    let Answer::Taken(msg) = courier.report(Report::Req(req)) else { panic!("not taken") };
+    let Answer::Taken(msg) = courier.report(Report::Req(req)) else { panic!("the req must be accepted") };
     courier.report(Report::Answered(msg));
-    let first = fetch(&courier);
+    let first = next_fetch(&courier);
     assert_eq!(courier.report(Report::Begin(first)), Answer::MayBegin(true));
 }
 
 fn is_given_up(courier: &Courier) -> bool {
-    match next(courier) {
+    match next_fetch_or_notice(courier) {
         Order::Notice(notice) => notice.verdict == Verdict::GivenUp,
         Order::Fetch(_) => false,
         other => panic!("{other:?}"),
     }
 }
 
-/// Ends of an attempt that may come before its first byte.
-const UNBEGUN: [End; 4] = [End::NotConnected, End::NotBegun, End::Unsent, End::CalledOff];
+/// The ends that an attempt may have before its first byte is sent.
+const ENDS_BEFORE_FIRST_BYTE: [End; 4] = [End::NotConnected, End::NotBegun, End::Unsent, End::CalledOff];
 
 #[test]
-fn an_attempt_that_never_began_does_not_clear_the_call_of_an_earlier_process() {
-    for end in UNBEGUN {
+fn an_attempt_that_never_began_does_not_settle_the_call_of_an_earlier_process() {
+    for end in ENDS_BEFORE_FIRST_BYTE {
         let home = tempdir().unwrap();
-        left_out(home.path(), KEYED);
-        let second = courier(home.path(), BEGIN + Micros(2 * S));
-        over(&second, fetch(&second), end);
+        leave_call_in_flight(home.path(), KEYED);
+        let second = courier(home.path(), START + Micros(2 * S));
+        report_done(&second, next_fetch(&second), end);
         drop(second);
-        let third = courier(home.path(), BEGIN + WINDOW + Micros(S));
-        assert!(is_given_up(&third), "{end:?}: sent again outside its window");
+        let third = courier(home.path(), START + REPEAT_WINDOW + Micros(S));
+        assert!(is_given_up(&third), "{end:?}: sent again after the repeat window");
     }
 }
 
 #[test]
-fn what_may_not_be_repeated_is_never_sent_after_an_unknown_call() {
+fn an_unsafe_message_is_never_sent_again_after_a_call_of_unknown_outcome() {
     let home = tempdir().unwrap();
-    left_out(home.path(), UNSAFE);
-    for life in 1..4 {
-        let later = courier(home.path(), BEGIN + Micros(life * 2 * S));
-        assert!(is_given_up(&later), "sent again in life {life}");
+    leave_call_in_flight(home.path(), UNSAFE);
+    for restart in 1..4 {
+        let later = courier(home.path(), START + Micros(restart * 2 * S));
+        assert!(is_given_up(&later), "sent again after restart {restart}");
     }
 }
 
-/// Guards against an attempt that waits for its connection during an upgrade being taken for the earlier process's call.
+/// During an upgrade an attempt may still wait for its connection. Guards against its end, which the successor is told,
+/// being taken for the outcome of the earlier process's call.
 #[test]
-fn an_attempt_that_never_began_over_a_hand_over_does_not_clear_the_call_of_an_earlier_process() {
-    for end in UNBEGUN {
+fn an_attempt_that_never_began_across_a_handover_does_not_settle_the_call_of_an_earlier_process() {
+    for end in ENDS_BEFORE_FIRST_BYTE {
         let home = tempdir().unwrap();
-        left_out(home.path(), KEYED);
-        let second = courier(home.path(), BEGIN + Micros(2 * S));
-        let attempt = fetch(&second);
-        let passed = second.freeze();
-        let (to, ends) = crossbeam_channel::unbounded();
-        second.hand_over(to);
-        over(&second, attempt, end);
+        leave_call_in_flight(home.path(), KEYED);
+        let second = courier(home.path(), START + Micros(2 * S));
+        let attempt = next_fetch(&second);
+        let handed_over = second.freeze();
+        let (end_sender, ends) = crossbeam_channel::unbounded();
+        second.hand_over(end_sender);
+        report_done(&second, attempt, end);
         drop(second);
-        let third = courier_after(home.path(), BEGIN + Micros(3 * S), Some(passed));
+        let third = courier_after(home.path(), START + Micros(3 * S), Some(handed_over));
         ends.try_iter().for_each(|call| third.complete_inherited_call(call));
-        over(&third, fetch(&third), End::NotBegun);
+        report_done(&third, next_fetch(&third), End::NotBegun);
         drop(third);
-        let fourth = courier(home.path(), BEGIN + WINDOW + Micros(S));
-        assert!(is_given_up(&fourth), "{end:?}: sent again outside its window");
+        let fourth = courier(home.path(), START + REPEAT_WINDOW + Micros(S));
+        assert!(is_given_up(&fourth), "{end:?}: sent again after the repeat window");
     }
 }
