--- a/src/comeback/mod.rs
+++ b/src/comeback/mod.rs
@@ -1,3 +1,4 @@
-//! Coming back: what a life remembers for the next one, and how far the next one believes it. No I/O, no clock, no threads.
+//! Recovery after a restart: what a process run stores for the next one, and how long the next one uses it. The module does
+//! no I/O, reads no clock and starts no threads.
 
 pub mod memory;
--- a/src/core/memory.rs
+++ b/src/core/memory.rs
@@ -2,7 +2,9 @@
 
 use super::Core;
 use crate::api::{DestinationId, EndpointId, Micros, Outage};
-use crate::comeback::memory::{demand_of, first_pace, Beat, Demand, Known, Memory, Waits};
+use crate::comeback::memory::{
+    demand_to_store, initial_send_rate, Demand, KnownOutage, Memory, Waits, WriteSchedule,
+};
 use crate::store::sealed::Sealed;
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -15,7 +17,7 @@
 #[derive(Default)]
 pub(super) struct MemoryFile {
     dir: Option<PathBuf>,
-    write_schedule: Beat,
+    write_schedule: WriteSchedule,
     /// When this process run began.
     run_began_at: Micros,
     /// Demand per destination with which this run began.
@@ -35,8 +37,8 @@
 }
 
 /// Reads the stored waits, demand and outages that are still valid now.
-fn read_memory(dir: &Path, now: Micros) -> (Waits, Demand, Vec<Known>) {
-    let (memory, said) = FILE.read(dir, Memory::read);
+fn read_memory(dir: &Path, now: Micros) -> (Waits, Demand, Vec<KnownOutage>) {
+    let (memory, said) = FILE.read(dir, Memory::from_bytes);
     said.iter().for_each(|line| tracing::warn!(target: "comeback", "{line}"));
     let memory = memory.unwrap_or_default();
     let waits = memory.waits_at(now);
@@ -63,7 +65,7 @@
         let demand = self.memory_file.initial_demand.iter().filter(|_| !taken_over);
         let mut paced = 0;
         for (dest, per_s) in demand {
-            self.policy.restore_send_rate(DestinationId(*dest), first_pace(*per_s));
+            self.policy.restore_send_rate(DestinationId(*dest), initial_send_rate(*per_s));
             paced += 1;
         }
         if paced > 0 {
@@ -75,7 +77,7 @@
     }
 
     /// Restores endpoints that were out or cold when the earlier process run last wrote the file.
-    fn restore_outages(&mut self, outages: Vec<Known>) {
+    fn restore_outages(&mut self, outages: Vec<KnownOutage>) {
         if !outages.is_empty() {
             tracing::info!(target: "comeback", endpoints = outages.len(), "outages of an earlier life are heeded");
         }
@@ -88,12 +90,12 @@
     }
 
     /// The endpoints to store that are out or cold now.
-    fn outages_to_record(&self, now: Micros) -> impl Iterator<Item = Known> + '_ {
+    fn outages_to_record(&self, now: Micros) -> impl Iterator<Item = KnownOutage> + '_ {
         let outages: HashMap<EndpointId, Outage> = self.policy.outages(now).into_iter().collect();
         self.endpoint_ids.iter().filter_map(move |((front, name), id)| {
             let outage = *outages.get(id)?;
             let dest = self.register.front(*front)?.destination_of(name)?;
-            Some(Known { front: *front, name: name.clone(), dest, outage })
+            Some(KnownOutage { front: *front, name: name.clone(), dest, outage })
         })
     }
 
@@ -101,7 +103,7 @@
     pub(super) fn record_wait(&mut self, now: Micros, front: u8, dest: u16, wait: Micros) {
         self.destination_waits.retain(|_, until| *until > now);
         let until = self.destination_waits.entry((front, dest)).or_default();
-        self.memory_file.write_schedule.told(now, *until, now + wait);
+        self.memory_file.write_schedule.wait_demanded(now, *until, now + wait);
         *until = (*until).max(now + wait);
     }
 
@@ -110,22 +112,23 @@
     pub(super) fn write_memory_if_due(&mut self, now: Micros) {
         let changes = self.policy.outage_changes();
         if std::mem::replace(&mut self.memory_file.seen_outage_changes, changes) != changes {
-            self.memory_file.write_schedule.changed();
+            self.memory_file.write_schedule.mark_changed();
         }
         let Some(dir) = self.memory_file.dir.as_deref().filter(|_| self.memory_file.write_schedule.due(now))
         else {
             return;
         };
         let seen: Demand = self.policy.demand(now).into_iter().map(|(d, per_s)| (d.0, per_s)).collect();
-        let demand = demand_of(now - self.memory_file.run_began_at, seen, &self.memory_file.initial_demand);
+        let demand =
+            demand_to_store(now - self.memory_file.run_began_at, seen, &self.memory_file.initial_demand);
         let memory =
-            Memory::of(now, &self.destination_waits, demand).with_outages(self.outages_to_record(now));
+            Memory::new(now, &self.destination_waits, demand).with_outages(self.outages_to_record(now));
         let idle = memory.waits.is_empty() && memory.demand.is_empty() && memory.outages.is_empty();
         if idle && self.memory_file.written_empty {
             return self.memory_file.write_schedule.written(now, true);
         }
         self.memory_file.written_empty = idle;
-        let written = FILE.write(dir, &FILE.seal(&memory.bytes()));
+        let written = FILE.write(dir, &FILE.seal(&memory.to_bytes()));
         self.memory_file.write_schedule.written(now, written.is_ok());
         let failed = written.as_ref().err();
         if let (Some(e), false) = (failed, self.memory_file.write_failed) {
