--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -223,7 +223,7 @@
         let wish: WishShape = serde_json::from_slice(body).map_err(|e| malformed(e.to_string()))?;
         let wish = self.words.wish(wish, self.courier.clock.now()).map_err(malformed)?;
         let (started, progress) = self.courier.drain_start(wish)?;
-        value(if started.again { 200 } else { 201 }, &self.shape(&progress))
+        value(if started.updated { 200 } else { 201 }, &self.shape(&progress))
     }
 
     fn status(&self) -> StatusShape {
--- a/src/control/shape.rs
+++ b/src/control/shape.rs
@@ -2,7 +2,7 @@
 
 use crate::api::Micros;
 use crate::core::draining::{Counts, Progress};
-use crate::drain::{Refusal, Scope, Stage, Wish, TEXT_MOST};
+use crate::drain::{DrainRequest, Refusal, Scope, Stage, MAX_TEXT_BYTES};
 use crate::net::lobby::Tally;
 use crate::net::{mail, platform};
 use serde::{Deserialize, Serialize};
@@ -170,9 +170,9 @@
         let (kind, status, title) = match refusal {
             Refusal::Ending => ("ending", 503, "the process is about to end"),
             Refusal::Deadline => ("deadline", 422, "the deadline is past, or more than seven days away"),
-            Refusal::Many => ("many", 409, "too many drains are on"),
+            Refusal::TooMany => ("many", 409, "too many drains are on"),
             Refusal::Unknown => ("unknown", 404, "no such drain is on"),
-            Refusal::Struck => {
+            Refusal::Expired => {
                 ("struck", 409, "the deadline came first: every message had its answer decided")
             }
             Refusal::Cancelled => ("cancelled", 409, "it was called off before"),
@@ -210,14 +210,14 @@
     }
 
     /// The wish, or what is wrong with it.
-    pub fn wish(&self, shape: WishShape, now: Micros) -> Result<Wish, String> {
+    pub fn wish(&self, shape: WishShape, now: Micros) -> Result<DrainRequest, String> {
         let by = match (shape.by_ms, shape.within_ms) {
             (Some(by), None) => Micros(by.saturating_mul(1000)),
             (None, Some(within)) => now + Micros(within.saturating_mul(1000)),
             _ => return Err("one of by_ms and within_ms must be there".into()),
         };
         let plain = |name: &str, text: &str, ok: fn(char) -> bool| match text {
-            t if t.len() > TEXT_MOST => Err(format!("{name}: more than {TEXT_MOST} bytes")),
+            t if t.len() > MAX_TEXT_BYTES => Err(format!("{name}: more than {MAX_TEXT_BYTES} bytes")),
             t if !t.chars().all(ok) => Err(format!("{name}: not a plain text")),
             _ => Ok(()),
         };
@@ -225,7 +225,12 @@
         // Danger: it goes into a header's line of each refusal.
         let uri = |c: char| c.is_ascii_graphic() && !"<>\"\\".contains(c);
         plain("elsewhere", shape.elsewhere.as_deref().unwrap_or_default(), uri)?;
-        Ok(Wish { scope: self.scope(&shape.scope)?, by, reason: shape.reason, elsewhere: shape.elsewhere })
+        Ok(DrainRequest {
+            scope: self.scope(&shape.scope)?,
+            deadline: by,
+            reason: shape.reason,
+            alternative_address: shape.elsewhere,
+        })
     }
 
     /// The name at a place, or the place where it has none.
@@ -249,8 +254,8 @@
         let state = match (drain.stage, progress.is_empty()) {
             (Stage::Draining, false) => "draining",
             (Stage::Draining, true) => "emptied",
-            (Stage::Struck, false) => "struck",
-            (Stage::Struck, true) => "struck_and_emptied",
+            (Stage::Expired, false) => "struck",
+            (Stage::Expired, true) => "struck_and_emptied",
             (Stage::Cancelled, _) => "cancelled",
             (Stage::Closed, _) => "closed",
         };
@@ -262,11 +267,11 @@
             id: drain.id,
             state: state.into(),
             scope: self.scope_shape(&drain.scope),
-            since_ms: drain.since / 1000,
-            by_ms: drain.by / 1000,
+            since_ms: drain.started_us / 1000,
+            by_ms: drain.deadline_us / 1000,
             now_ms: now.0 / 1000,
             reason: drain.reason.clone(),
-            elsewhere: drain.elsewhere.clone(),
+            elsewhere: drain.alternative_address.clone(),
             at_start: drain.at_start,
             left: counts(&progress.left),
             by_class: by_class.iter().map(|(name, c)| (name.clone(), counts(c))).collect(),
@@ -276,8 +281,8 @@
                 let high = Some(e.high_s).filter(|s| s.is_finite());
                 (e.likely_s, e.low_s, high)
             }),
-            given_up: drain.tally.given_up,
-            handed_back: drain.tally.handed_back,
+            given_up: drain.outcomes.given_up,
+            handed_back: drain.outcomes.handed_back,
         }
     }
 }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -68,7 +68,7 @@
             return Some(Answer::Known);
         }
         if let Some(turn) = self.draining.refusal(now, req) {
-            return Some(Answer::Draining { wait: turn.wait, drain: turn.id });
+            return Some(Answer::Draining { wait: turn.retry_after, drain: turn.id });
         }
         let book = self.register.front_mut(req.front, now);
         if !book.has_destination(req.dest) {
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -3,8 +3,11 @@
 
 use super::{Core, Courier, MIN_TIME_TO_BEGIN};
 use crate::api::{DestinationId, Effect, Event, MessageId, Micros};
-use crate::drain::estimate::{Ends, Estimate};
-use crate::drain::{self, Drain, Drains, History, Marks, Refusal, Stage, Started, Tally, TurnAway, Wish};
+use crate::drain::estimate::{Estimate, RecentEnds};
+use crate::drain::{
+    self, Drain, DrainRequest, Drains, History, MessageAttributes, OutcomeCounts, Refusal, Rejection, Stage,
+    Started,
+};
 use crate::store::sealed::Sealed;
 use crate::store::{Req, Verdict};
 use std::collections::BTreeMap;
@@ -26,7 +29,7 @@
     /// Folder of the drains file; `None` if no drain can be requested.
     dir: Option<PathBuf>,
     /// By drain, the ends of its messages, from which its remaining time is estimated.
-    ends: BTreeMap<u64, Ends>,
+    ends: BTreeMap<u64, RecentEnds>,
     /// The effect of each class.
     effects: Vec<Effect>,
     /// The longest time that a client may be told to wait.
@@ -90,8 +93,8 @@
     }
 }
 
-fn marks(req: &Req) -> Marks {
-    Marks { front: req.front, dest: req.dest, class: req.class, tenant: req.tenant }
+fn marks(req: &Req) -> MessageAttributes {
+    MessageAttributes { front: req.front, dest: req.dest, class: req.class, tenant: req.tenant }
 }
 
 impl Draining {
@@ -105,7 +108,7 @@
             errors.iter().for_each(|error| tracing::error!(target: "drain", "{error}"));
             drains = read.unwrap_or_default();
         }
-        for drain in drains.on() {
+        for drain in drains.active() {
             tracing::info!(target: "drain", drain = drain.id, "a drain continues from an earlier run of the process");
         }
         let (dir, max_retry_after) =
@@ -114,11 +117,11 @@
     }
 
     /// The refusal of a new req, if it is in the scope of a drain.
-    pub(super) fn refusal(&self, now: Micros, req: &Req) -> Option<TurnAway> {
+    pub(super) fn refusal(&self, now: Micros, req: &Req) -> Option<Rejection> {
         if self.own_class == Some(req.class) {
             return None;
         }
-        self.drains.turns_away(now, &marks(req), self.max_retry_after)
+        self.drains.rejection(now, &marks(req), self.max_retry_after)
     }
 
     /// Whether no drain forbids that a fetch of this req begins now.
@@ -128,13 +131,13 @@
 
     /// The next deadline of a drain.
     pub(super) fn next_at(&self) -> Option<Micros> {
-        self.drains.next_at()
+        self.drains.next_deadline()
     }
 
     /// Records the end of a message for the estimates of the drains that cover it.
     pub(super) fn ended(&mut self, now: Micros, req: &Req) {
-        for drain in self.drains.on().iter().filter(|d| d.scope.covers(&marks(req))) {
-            self.ends.entry(drain.id).or_default().ended(now);
+        for drain in self.drains.active().iter().filter(|d| d.scope.covers(&marks(req))) {
+            self.ends.entry(drain.id).or_default().record(now);
         }
     }
 
@@ -152,7 +155,7 @@
             tracing::error!(target: "drain", "the drains file can't be written: {e}");
             Refusal::Disk
         })?;
-        let is_on = |id: &u64| next.on().iter().any(|d| d.id == *id);
+        let is_on = |id: &u64| next.active().iter().any(|d| d.id == *id);
         self.ends.retain(|id, _| is_on(id));
         self.drains = next;
         Ok(result)
@@ -160,16 +163,22 @@
 }
 
 impl Core {
-    /// Ends the pending messages of drains whose deadline has come. When the process starts (`resuming`), it also
+    /// RecentEnds the pending messages of drains whose deadline has come. When the process starts (`resuming`), it also
     /// continues with drains whose messages an earlier run had begun to end.
     pub(super) fn apply_due_drains(&mut self, now: Micros, resuming: bool) {
         if !self.is_active() {
             return;
         }
-        let mut due = self.draining.drains.strike(now);
+        let mut due = self.draining.drains.expire_due(now);
         if resuming {
-            due =
-                self.draining.drains.on().iter().filter(|d| d.stage == Stage::Struck).map(|d| d.id).collect();
+            due = self
+                .draining
+                .drains
+                .active()
+                .iter()
+                .filter(|d| d.stage == Stage::Expired)
+                .map(|d| d.id)
+                .collect();
         }
         if due.is_empty() {
             return;
@@ -177,7 +186,7 @@
         let mut events = Vec::new();
         for id in due {
             let Some(drain) = self.draining.drains.get(id).cloned() else { continue };
-            let mut tally = Tally::default();
+            let mut tally = OutcomeCounts::default();
             let own_class = self.draining.own_class;
             let open = |m: &super::PendingMessage| !m.decided && own_class != Some(m.req.class);
             let found = self.messages.iter().filter(|(msg, m)| {
@@ -192,7 +201,7 @@
                     true => History::MayHaveRun,
                     false => History::NeverRan,
                 };
-                let verdict = match drain::answer(effect, history) {
+                let verdict = match drain::final_answer(effect, history) {
                     drain::Answer::HandBack => {
                         tally.handed_back += 1;
                         Verdict::HandedBack(self.default_retry_after())
@@ -205,8 +214,8 @@
                 self.verdict(now, msg, verdict, &mut []);
                 events.push(Event::Withdrawn(MessageId(msg)));
             }
-            self.draining.drains.tallied(id, tally);
-            let Tally { given_up, handed_back } = tally;
+            self.draining.drains.add_outcomes(id, tally);
+            let OutcomeCounts { given_up, handed_back } = tally;
             tracing::info!(target: "drain", drain = id, given_up, handed_back, "a drain has reached its deadline");
         }
         // The deadline takes effect even if the file can't be written. In that case the next run of the process finds
@@ -240,7 +249,7 @@
             }
         }
         let ends = self.draining.ends.entry(drain.id).or_default();
-        let estimate = ends.estimate(now, Micros(drain.since), left.total);
+        let estimate = ends.estimate(now, Micros(drain.started_us), left.total);
         if matches!(drain.stage, Stage::Cancelled | Stage::Closed) {
             self.draining.ends.remove(&drain.id);
         }
@@ -251,7 +260,7 @@
 
 impl Courier {
     /// Starts a drain, or sets a new deadline for an active one.
-    pub fn drain_start(&self, wish: Wish) -> Result<(Started, Progress), Refusal> {
+    pub fn drain_start(&self, wish: DrainRequest) -> Result<(Started, Progress), Refusal> {
         let now = self.clock.now();
         let mut state = self.state();
         // A drain whose deadline has come takes effect before the request, even if no tick has handled it yet.
@@ -262,7 +271,7 @@
         self.update_closed_fronts(&state);
         let drain = state.draining.drains.get(started.id).cloned().ok_or(Refusal::Unknown)?;
         tracing::info!(
-            target: "drain", drain = drain.id, by_ms = drain.by / 1000, again = started.again, held,
+            target: "drain", drain = drain.id, by_ms = drain.deadline_us / 1000, again = started.updated, held,
             reason = drain.reason.as_str(), "a drain begins"
         );
         Ok((started, state.progress(now, drain)))
@@ -304,7 +313,7 @@
         let now = self.clock.now();
         let mut state = self.state();
         let all: Vec<Drain> =
-            state.draining.drains.on().iter().chain(state.draining.drains.ended()).cloned().collect();
+            state.draining.drains.active().iter().chain(state.draining.drains.ended()).cloned().collect();
         all.into_iter().map(|drain| state.progress(now, drain)).collect()
     }
 
@@ -318,7 +327,7 @@
 
     /// The alternative address for clients that a drain refuses.
     pub fn alternative_address(&self, drain: u64) -> Option<String> {
-        self.state().draining.drains.get(drain)?.elsewhere.clone()
+        self.state().draining.drains.get(drain)?.alternative_address.clone()
     }
 
     /// Whether a drain makes a front refuse everything; its sessions then end between requests. Read on each request,
@@ -330,7 +339,7 @@
     /// Copies to the lock-free flags which fronts the drains close.
     pub(super) fn update_closed_fronts(&self, state: &Core) {
         for (front, closed) in self.closed_fronts.iter().enumerate() {
-            closed.store(state.draining.drains.shuts(front as u8), Ordering::Relaxed);
+            closed.store(state.draining.drains.closes_front(front as u8), Ordering::Relaxed);
         }
     }
 
--- a/src/drain/estimate.rs
+++ b/src/drain/estimate.rs
@@ -1,65 +1,73 @@
-//! When a drain should be over: by the rate at which messages ended lately, with how uncertain that is. No clock.
+//! Estimates the remaining time of a drain from the rate at which messages ended recently, with an interval for its
+//! uncertainty. The module reads no clock.
 
 use crate::api::Micros;
 use std::collections::VecDeque;
 
-/// Ends are counted over so long, and so many are remembered.
-const SPAN: Micros = Micros(10_000_000);
-const MOST: usize = 4096;
-/// So many deviations of a count either way: nineteen times in twenty it lies between.
-const DEVIATIONS: f64 = 2.0;
+/// The window in which ends of messages are counted.
+const WINDOW: Micros = Micros(10_000_000);
+/// The maximum number of ends that are kept.
+const MAX_ENDS: usize = 4096;
+/// Half the width of the interval, in standard deviations of the count: it covers 19 of 20 cases.
+const STANDARD_DEVIATIONS: f64 = 2.0;
 
-/// When messages ended.
+/// The times at which messages ended recently.
 #[derive(Debug, Clone, Default)]
-pub struct Ends {
-    at: VecDeque<Micros>,
+pub struct RecentEnds {
+    times: VecDeque<Micros>,
 }
 
-/// How long it should still take.
+/// The estimated remaining time of a drain.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Estimate {
-    /// The likely length, in seconds.
+    /// The most likely remaining time, in seconds.
     pub likely_s: f64,
-    /// Not shorter than this, probably.
+    /// The lower end of the interval, in seconds.
     pub low_s: f64,
-    /// Not longer than this, probably; infinite where too few have ended to say.
+    /// The upper end of the interval, in seconds; infinite if too few messages have ended.
     pub high_s: f64,
 }
 
-impl Ends {
-    /// One ended.
-    pub fn ended(&mut self, now: Micros) {
-        self.at.push_back(now);
-        if self.at.len() > MOST {
-            self.at.pop_front();
+impl RecentEnds {
+    /// Records the end of a message.
+    pub fn record(&mut self, now: Micros) {
+        self.times.push_back(now);
+        if self.times.len() > MAX_ENDS {
+            self.times.pop_front();
         }
-        self.forget(now);
+        self.remove_expired(now);
     }
 
-    fn forget(&mut self, now: Micros) {
-        while self.at.front().is_some_and(|at| *at + SPAN < now) {
-            self.at.pop_front();
+    fn remove_expired(&mut self, now: Micros) {
+        while self.times.front().is_some_and(|at| *at + WINDOW < now) {
+            self.times.pop_front();
         }
     }
 
-    /// How long until this many more have ended, if it goes on as since `since`; `None`: none has ended yet.
+    /// Estimates the time until `left` more messages have ended, at the rate since `since`. Returns `None` if no message has
+    /// ended since then.
     pub fn estimate(&mut self, now: Micros, since: Micros, left: u64) -> Option<Estimate> {
-        self.forget(now);
-        let from =
-            self.at.front().copied().filter(|_| self.at.len() == MOST).unwrap_or(now - SPAN).max(since);
-        let count = self.at.iter().filter(|at| **at >= from).count() as f64;
-        let span = (now - from).secs();
+        self.remove_expired(now);
+        let window_start = self
+            .times
+            .front()
+            .copied()
+            .filter(|_| self.times.len() == MAX_ENDS)
+            .unwrap_or(now - WINDOW)
+            .max(since);
+        let count = self.times.iter().filter(|at| **at >= window_start).count() as f64;
+        let window_s = (now - window_start).secs();
         if left == 0 {
             return Some(Estimate { likely_s: 0.0, low_s: 0.0, high_s: 0.0 });
         }
-        if count < 1.0 || span <= 0.0 {
+        if count < 1.0 || window_s <= 0.0 {
             return None;
         }
         let left = left as f64;
-        let spread = DEVIATIONS * count.sqrt();
-        let rate = |count: f64| left * span / count;
-        let high_s = if count > spread { rate(count - spread) } else { f64::INFINITY };
-        Some(Estimate { likely_s: rate(count), low_s: rate(count + spread), high_s })
+        let deviation = STANDARD_DEVIATIONS * count.sqrt();
+        let remaining_s = |count: f64| left * window_s / count;
+        let high_s = if count > deviation { remaining_s(count - deviation) } else { f64::INFINITY };
+        Some(Estimate { likely_s: remaining_s(count), low_s: remaining_s(count + deviation), high_s })
     }
 }
 
@@ -70,13 +78,13 @@
     const S: u64 = 1_000_000;
 
     #[test]
-    fn a_steady_rate_is_found_and_few_ends_say_little() {
-        let mut ends = Ends::default();
+    fn a_steady_rate_is_estimated_and_few_ends_give_no_upper_limit() {
+        let mut ends = RecentEnds::default();
         assert_eq!(ends.estimate(Micros(S), Micros(0), 5), None);
-        ends.ended(Micros(S));
+        ends.record(Micros(S));
         let early = ends.estimate(Micros(2 * S), Micros(0), 10).unwrap();
         assert_eq!((early.likely_s, early.high_s), (20.0, f64::INFINITY));
-        (0..1000).for_each(|n| ends.ended(Micros(100 * S + n * 10_000)));
+        (0..1000).for_each(|n| ends.record(Micros(100 * S + n * 10_000)));
         let steady = ends.estimate(Micros(110 * S), Micros(0), 500).unwrap();
         assert!((steady.likely_s - 5.0).abs() < 0.1, "{steady:?}");
         assert!(steady.low_s > 4.5 && steady.high_s < 5.5, "{steady:?}");
@@ -84,18 +92,18 @@
     }
 
     #[test]
-    fn what_ended_before_the_drain_does_not_count() {
-        let mut ends = Ends::default();
-        (0..100).for_each(|n| ends.ended(Micros(n * 50_000)));
+    fn ends_before_the_drain_are_not_counted() {
+        let mut ends = RecentEnds::default();
+        (0..100).for_each(|n| ends.record(Micros(n * 50_000)));
         assert_eq!(ends.estimate(Micros(6 * S), Micros(6 * S), 10), None);
     }
 
     #[test]
-    fn memory_is_bounded() {
-        let mut ends = Ends::default();
-        (0..100_000).for_each(|n| ends.ended(Micros(n)));
-        assert!(ends.at.len() <= MOST);
+    fn the_number_of_kept_ends_is_bounded() {
+        let mut ends = RecentEnds::default();
+        (0..100_000).for_each(|n| ends.record(Micros(n)));
+        assert!(ends.times.len() <= MAX_ENDS);
         let fast = ends.estimate(Micros(100_000), Micros(0), 1000).unwrap();
-        assert!((fast.likely_s - 0.001).abs() < 0.0001, "a million a second: {fast:?}");
+        assert!((fast.likely_s - 0.001).abs() < 0.0001, "the rate is a million per second: {fast:?}");
     }
 }
--- a/src/drain/mod.rs
+++ b/src/drain/mod.rs
@@ -1,11 +1,12 @@
-//! Emptying an instance on request: which drains are on, what each refuses, when it strikes, and which answer each
-//! message then gets. No I/O, no clock, no threads; `docs/design/drain.md` has the table of all transitions.
+//! Drains of an instance on request: which drains are active, what each refuses, when its deadline takes effect, and which
+//! final answer each message then gets. The module does no I/O, reads no clock and starts no threads.
+//! `docs/design/drain.md` has the table of all transitions.
 //!
-//! A drain covers a [`Scope`]: everything, or one front, destination, class, tenant, or what several of these have in
-//! common. From its start nothing in its scope is taken on. What is held goes on under the usual rules until the
-//! deadline. Then it *strikes*: in one step every message in scope that has no end yet gets its final answer, see
-//! [`answer`]. A drain that has struck can't be called off; one whose deadline has come has struck, also if nobody has
-//! looked yet.
+//! A drain covers a [`Scope`]: everything, or one front, destination, class or tenant, or the intersection of several of
+//! these. From its start, no new message in its scope is accepted. Accepted messages continue under the usual rules until
+//! the deadline. At the deadline the drain *expires*: in one step, every message in scope that has no end yet gets its
+//! final answer, see [`final_answer`]. An expired drain can't be cancelled. A drain whose deadline has come counts as
+//! expired even if no tick has handled it yet.
 
 pub mod estimate;
 
@@ -13,16 +14,17 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Whose messages are meant. What is not set means all.
+/// The messages that a drain covers. A field that is not set matches all messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Scope {
-    /// Number of the front.
+    /// The front's number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub front: Option<u8>,
-    /// Number of the destination.
+    /// The destination's number.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub dest: Option<u16>,
-    /// Classes, by position in the settings: one name may stand for several, as mail has its own. None: all.
+    /// Classes, by position in the settings; an empty list matches all. One class name may stand for several positions, as
+    /// mail has classes of its own.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub classes: Vec<u16>,
     /// The tenant, by position in the settings.
@@ -30,29 +32,29 @@
     pub tenant: Option<u16>,
 }
 
-/// What a scope looks at in a message.
+/// The attributes of a message that a scope is matched against.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Marks {
-    /// Number of its front.
+pub struct MessageAttributes {
+    /// The number of its front.
     pub front: u8,
-    /// Number of its destination.
+    /// The number of its destination.
     pub dest: u16,
-    /// Its class.
+    /// Its class, by position in the settings.
     pub class: u16,
-    /// Its tenant.
+    /// Its tenant, by position in the settings.
     pub tenant: u16,
 }
 
 impl Scope {
-    /// Whether a message is meant.
-    pub fn covers(&self, marks: &Marks) -> bool {
-        self.front.is_none_or(|f| f == marks.front)
-            && self.dest.is_none_or(|d| d == marks.dest)
-            && (self.classes.is_empty() || self.classes.contains(&marks.class))
-            && self.tenant.is_none_or(|t| t == marks.tenant)
+    /// Whether a message is in the scope.
+    pub fn covers(&self, attributes: &MessageAttributes) -> bool {
+        self.front.is_none_or(|f| f == attributes.front)
+            && self.dest.is_none_or(|d| d == attributes.dest)
+            && (self.classes.is_empty() || self.classes.contains(&attributes.class))
+            && self.tenant.is_none_or(|t| t == attributes.tenant)
     }
 
-    /// Everything that a front takes on is meant.
+    /// Whether the scope covers every message of a front.
     pub fn covers_front(&self, front: u8) -> bool {
         self.front.is_none_or(|f| f == front)
             && self.dest.is_none()
@@ -61,288 +63,305 @@
     }
 }
 
-/// A wish to drain.
+/// A request to start a drain.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Wish {
-    /// Whose messages.
+pub struct DrainRequest {
+    /// The messages that it covers.
     pub scope: Scope,
     /// The deadline.
-    pub by: Micros,
-    /// Why, for whoever looks at it.
+    pub deadline: Micros,
+    /// The reason that is shown to operators.
     pub reason: String,
-    /// Where clients may go meanwhile.
-    pub elsewhere: Option<String>,
+    /// The address that clients may use in the meantime.
+    pub alternative_address: Option<String>,
 }
 
-/// How far a drain is.
+/// The stage of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// Nothing new is taken on; what is held goes on.
+    /// New messages are refused; accepted messages continue.
     Draining,
-    /// The deadline came first: everything had its answer decided, and notices may still be owed.
-    Struck,
-    /// Called off: service is as before.
+    /// The deadline has passed: the answer of every message is decided, and notices to clients may still be pending.
+    #[serde(rename = "struck")]
+    Expired,
+    /// Cancelled before the deadline; service is as before.
     Cancelled,
-    /// It was over, and service is as before.
+    /// Closed after it had finished; service is as before.
     Closed,
 }
 
-/// What a strike did.
+/// The number of messages that the deadline ended, by outcome.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Tally {
-    /// Messages given up: they may have run.
+pub struct OutcomeCounts {
+    /// Messages given up, as they may have run.
     pub given_up: u64,
-    /// Messages handed back: they never ran, or may run again.
+    /// Messages handed back, as they never ran or may safely run again.
     pub handed_back: u64,
 }
 
-/// One drain.
+/// A drain and its progress, as stored in the drains file.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Drain {
-    /// Its number, never used twice in one state folder.
+    /// Its number, unique within a state folder.
     pub id: u64,
-    /// Whose messages.
+    /// The messages that it covers.
     pub scope: Scope,
     /// Its deadline, in microseconds since 1970.
-    pub by: u64,
-    /// When it was asked for first.
-    pub since: u64,
-    /// Why.
+    #[serde(rename = "by")]
+    pub deadline_us: u64,
+    /// The time of the first request, in microseconds since 1970.
+    #[serde(rename = "since")]
+    pub started_us: u64,
+    /// The reason that is shown to operators.
     pub reason: String,
-    /// Where clients may go meanwhile.
-    pub elsewhere: Option<String>,
-    /// How far it is.
+    /// The address that clients may use in the meantime.
+    #[serde(rename = "elsewhere")]
+    pub alternative_address: Option<String>,
+    /// Its stage.
     pub stage: Stage,
-    /// Messages in scope when it began.
+    /// The number of messages in scope when it began.
     pub at_start: u64,
-    /// What its strike did.
-    pub tally: Tally,
+    /// The messages that its deadline ended.
+    #[serde(rename = "tally")]
+    pub outcomes: OutcomeCounts,
 }
 
 impl Drain {
-    /// The deadline.
-    pub fn by(&self) -> Micros {
-        Micros(self.by)
+    /// Returns the deadline.
+    pub fn deadline(&self) -> Micros {
+        Micros(self.deadline_us)
     }
 
-    fn due(&self, now: Micros) -> bool {
-        self.stage == Stage::Draining && self.by() <= now
+    fn is_due(&self, now: Micros) -> bool {
+        self.stage == Stage::Draining && self.deadline() <= now
     }
 }
 
-/// Why a wish is not granted.
+/// The reason for which a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// The process is about to end; a drain is for one that stays.
+    /// The process is stopping; a drain needs a process that keeps running.
     Ending,
-    /// The deadline is past, or further away than may be asked for.
+    /// The deadline is past, or further away than [`MAX_DEADLINE`].
     Deadline,
-    /// So many drains are on already.
-    Many,
-    /// No drain of this number is on.
+    /// The maximum number of drains is active already.
+    TooMany,
+    /// No drain of this number is active.
     Unknown,
-    /// The deadline struck first.
-    Struck,
-    /// It was called off before.
+    /// The deadline had passed before the request.
+    Expired,
+    /// The drain was cancelled before.
     Cancelled,
-    /// The wish could not be written down, so it does not hold.
+    /// The change could not be written to disk and has no effect.
     Disk,
 }
 
-/// What became of a start.
+/// The result of a request to start a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Started {
-    /// Its number.
+    /// The drain's number.
     pub id: u64,
-    /// It was on already, and has a new deadline now.
-    pub again: bool,
+    /// Whether the drain was active already and got a new deadline.
+    pub updated: bool,
 }
 
-/// What a client is told that hands in what is not taken on.
+/// The refusal of a new message because of a drain.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TurnAway {
-    /// Which drain.
+pub struct Rejection {
+    /// The drain's number.
     pub id: u64,
-    /// How long to stay away.
-    pub wait: Micros,
+    /// The time after which the client may retry.
+    pub retry_after: Micros,
 }
 
-/// Drains that may be on at a time, ended ones that are remembered, the furthest deadline, and the shortest wait that a
-/// client is told.
-const MOST: usize = 16;
-const ENDED_MOST: usize = 16;
-const FURTHEST: Micros = Micros(7 * 24 * 3600 * 1_000_000);
-const WAIT_LEAST: Micros = Micros(1_000_000);
-/// The longest reason and address that are taken.
-pub const TEXT_MOST: usize = 400;
-
-/// All drains of an instance.
+/// The maximum number of drains that are active at a time.
+const MAX_ACTIVE: usize = 16;
+/// The number of ended drains that are kept.
+const MAX_ENDED: usize = 16;
+/// The furthest deadline, from the time of the request.
+const MAX_DEADLINE: Micros = Micros(7 * 24 * 3600 * 1_000_000);
+/// The shortest retry delay that a client is given.
+const MIN_RETRY_AFTER: Micros = Micros(1_000_000);
+/// The maximum length of a reason and of an alternative address, in bytes.
+pub const MAX_TEXT_BYTES: usize = 400;
+
+/// All drains of an instance, as stored in the drains file.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Drains {
-    next: u64,
-    on: Vec<Drain>,
+    #[serde(rename = "next")]
+    last_id: u64,
+    #[serde(rename = "on")]
+    active: Vec<Drain>,
     ended: VecDeque<Drain>,
 }
 
 impl Drains {
-    /// Those that are on, struck ones counted: nothing in their scopes is taken on.
-    pub fn on(&self) -> &[Drain] {
-        &self.on
+    /// Returns the active drains, which refuse new messages in their scopes; expired ones are included.
+    pub fn active(&self) -> &[Drain] {
+        &self.active
     }
 
-    /// One by its number, also if it has been called off lately.
+    /// Returns a drain by its number, including one that ended recently.
     pub fn get(&self, id: u64) -> Option<&Drain> {
-        self.on.iter().chain(&self.ended).find(|d| d.id == id)
+        self.active.iter().chain(&self.ended).find(|d| d.id == id)
     }
 
-    /// Those called off lately, the last one last.
+    /// Returns the drains that were cancelled or closed recently, the oldest first.
     pub fn ended(&self) -> impl Iterator<Item = &Drain> {
         self.ended.iter()
     }
 
-    /// Starts one. A second wish for the same scope gives the first one a new deadline, also a nearer one, unless it has
-    /// struck: then what was decided stands, and there is nothing left to drain.
-    pub fn start(&mut self, now: Micros, wish: Wish, ending: bool, held: u64) -> Result<Started, Refusal> {
-        if ending {
+    /// Starts a drain. A second request for the same scope gives the active drain a new deadline, which may be earlier. If
+    /// that drain has expired, the request is refused: its decisions stand, and no message is left to drain.
+    pub fn start(
+        &mut self, now: Micros, request: DrainRequest, stopping: bool, held: u64,
+    ) -> Result<Started, Refusal> {
+        if stopping {
             return Err(Refusal::Ending);
         }
-        if wish.by <= now || wish.by > now + FURTHEST {
+        if request.deadline <= now || request.deadline > now + MAX_DEADLINE {
             return Err(Refusal::Deadline);
         }
-        if let Some(drain) = self.on.iter_mut().find(|d| d.scope == wish.scope) {
-            if drain.stage == Stage::Struck || drain.due(now) {
-                return Err(Refusal::Struck);
+        if let Some(drain) = self.active.iter_mut().find(|d| d.scope == request.scope) {
+            if drain.stage == Stage::Expired || drain.is_due(now) {
+                return Err(Refusal::Expired);
             }
-            drain.by = wish.by.0;
-            (drain.reason, drain.elsewhere) = (wish.reason, wish.elsewhere);
-            return Ok(Started { id: drain.id, again: true });
+            drain.deadline_us = request.deadline.0;
+            (drain.reason, drain.alternative_address) = (request.reason, request.alternative_address);
+            return Ok(Started { id: drain.id, updated: true });
         }
-        if self.on.len() >= MOST {
-            return Err(Refusal::Many);
+        if self.active.len() >= MAX_ACTIVE {
+            return Err(Refusal::TooMany);
         }
-        self.next += 1;
-        self.on.push(Drain {
-            id: self.next,
-            scope: wish.scope,
-            by: wish.by.0,
-            since: now.0,
-            reason: wish.reason,
-            elsewhere: wish.elsewhere,
+        self.last_id += 1;
+        self.active.push(Drain {
+            id: self.last_id,
+            scope: request.scope,
+            deadline_us: request.deadline.0,
+            started_us: now.0,
+            reason: request.reason,
+            alternative_address: request.alternative_address,
             stage: Stage::Draining,
             at_start: held,
-            tally: Tally::default(),
+            outcomes: OutcomeCounts::default(),
         });
-        Ok(Started { id: self.next, again: false })
+        Ok(Started { id: self.last_id, updated: false })
     }
 
-    /// Calls one off. Who comes at or after the deadline comes too late, whether or not the strike was carried out yet:
-    /// exactly one of the two wins, for all messages alike. One that has struck can only be *closed*, see
-    /// [`Drains::close`].
+    /// Cancels a drain. A request at or after the deadline is refused, whether or not the expiry was carried out yet: either
+    /// the cancellation or the deadline takes effect, for all messages of the drain. An expired drain can only be closed,
+    /// see [`Drains::close`].
     pub fn cancel(&mut self, now: Micros, id: u64) -> Result<(), Refusal> {
-        let Some(place) = self.on.iter().position(|d| d.id == id) else {
+        let Some(index) = self.active.iter().position(|d| d.id == id) else {
             return Err(self
                 .ended
                 .iter()
                 .find(|d| d.id == id && d.stage == Stage::Cancelled)
                 .map_or(Refusal::Unknown, |_| Refusal::Cancelled));
         };
-        if self.on[place].stage == Stage::Struck || self.on[place].due(now) {
-            return Err(Refusal::Struck);
+        if self.active[index].stage == Stage::Expired || self.active[index].is_due(now) {
+            return Err(Refusal::Expired);
         }
-        let mut drain = self.on.remove(place);
+        let mut drain = self.active.remove(index);
         drain.stage = Stage::Cancelled;
-        self.remember(drain);
+        self.keep_ended(drain);
         Ok(())
     }
 
-    /// Takes service up again after a drain that has struck or is empty: what it decided stands.
+    /// Resumes service after a drain that has expired or has no message left; its decisions stand. Any other drain is
+    /// treated as by [`Drains::cancel`].
     pub fn close(&mut self, now: Micros, id: u64, left: u64) -> Result<(), Refusal> {
-        let place = self.on.iter().position(|d| d.id == id).ok_or(Refusal::Unknown)?;
-        let drain = &self.on[place];
-        if drain.due(now) || drain.stage == Stage::Draining && left > 0 {
+        let index = self.active.iter().position(|d| d.id == id).ok_or(Refusal::Unknown)?;
+        let drain = &self.active[index];
+        if drain.is_due(now) || drain.stage == Stage::Draining && left > 0 {
             return self.cancel(now, id);
         }
-        let mut drain = self.on.remove(place);
+        let mut drain = self.active.remove(index);
         drain.stage = Stage::Closed;
-        self.remember(drain);
+        self.keep_ended(drain);
         Ok(())
     }
 
-    fn remember(&mut self, drain: Drain) {
+    fn keep_ended(&mut self, drain: Drain) {
         self.ended.push_back(drain);
-        if self.ended.len() > ENDED_MOST {
+        if self.ended.len() > MAX_ENDED {
             self.ended.pop_front();
         }
     }
 
-    /// The drains whose deadline has come, each named once: from now on they have struck.
-    pub fn strike(&mut self, now: Micros) -> Vec<u64> {
-        let mut struck = Vec::new();
-        for drain in self.on.iter_mut().filter(|d| d.due(now)) {
-            drain.stage = Stage::Struck;
-            struck.push(drain.id);
+    /// MessageAttributes the drains whose deadline has come as expired and returns their numbers. Each is returned only once.
+    pub fn expire_due(&mut self, now: Micros) -> Vec<u64> {
+        let mut expired = Vec::new();
+        for drain in self.active.iter_mut().filter(|d| d.is_due(now)) {
+            drain.stage = Stage::Expired;
+            expired.push(drain.id);
         }
-        struck
+        expired
     }
 
-    /// What its strike did, added to what it had done before its process was killed in the middle.
-    pub fn tallied(&mut self, id: u64, tally: Tally) {
-        if let Some(drain) = self.on.iter_mut().find(|d| d.id == id) {
-            drain.tally.given_up += tally.given_up;
-            drain.tally.handed_back += tally.handed_back;
+    /// Adds the outcomes of a drain's expiry. They are summed up because a process can be killed during the expiry, and the
+    /// next run continues it.
+    pub fn add_outcomes(&mut self, id: u64, outcomes: OutcomeCounts) {
+        if let Some(drain) = self.active.iter_mut().find(|d| d.id == id) {
+            drain.outcomes.given_up += outcomes.given_up;
+            drain.outcomes.handed_back += outcomes.handed_back;
         }
     }
 
-    /// When the next one strikes.
-    pub fn next_at(&self) -> Option<Micros> {
-        self.on.iter().filter(|d| d.stage == Stage::Draining).map(Drain::by).min()
+    /// Returns the next deadline.
+    pub fn next_deadline(&self) -> Option<Micros> {
+        self.active.iter().filter(|d| d.stage == Stage::Draining).map(Drain::deadline).min()
     }
 
-    /// Whether a message is not taken on, and for how long its client should stay away: until the drain should be over
-    /// where that can be said, at most as long as the settings allow.
-    pub fn turns_away(&self, now: Micros, marks: &Marks, longest: Micros) -> Option<TurnAway> {
-        let drain = self.on.iter().find(|d| d.scope.covers(marks))?;
-        let wait = match drain.stage {
-            Stage::Draining => drain.by() - now,
-            Stage::Struck | Stage::Cancelled | Stage::Closed => longest,
+    /// Returns the rejection of a new message that an active drain covers. The client may retry at the deadline or, if that
+    /// has passed, after `max_retry_after`, which is also the longest delay.
+    pub fn rejection(
+        &self, now: Micros, attributes: &MessageAttributes, max_retry_after: Micros,
+    ) -> Option<Rejection> {
+        let drain = self.active.iter().find(|d| d.scope.covers(attributes))?;
+        let retry_after = match drain.stage {
+            Stage::Draining => drain.deadline() - now,
+            Stage::Expired | Stage::Cancelled | Stage::Closed => max_retry_after,
         };
-        Some(TurnAway { id: drain.id, wait: wait.max(WAIT_LEAST).min(longest.max(WAIT_LEAST)) })
+        let retry_after = retry_after.max(MIN_RETRY_AFTER).min(max_retry_after.max(MIN_RETRY_AFTER));
+        Some(Rejection { id: drain.id, retry_after })
     }
 
-    /// Whether a call may still begin: not so shortly before a strike that it could hardly end. Danger: an order whose
-    /// call begins a moment before may have run, and must be given up where it could have been handed back.
-    pub fn may_begin(&self, now: Micros, marks: &Marks, margin: Micros) -> bool {
-        !self.on.iter().any(|d| d.scope.covers(marks) && d.by() <= now + margin)
+    /// Whether a call may still begin. It may not within `margin` before a deadline, as it could hardly end in time: its
+    /// message may then have run, and would have to be given up where it could have been handed back.
+    pub fn may_begin(&self, now: Micros, attributes: &MessageAttributes, margin: Micros) -> bool {
+        !self.active.iter().any(|d| d.scope.covers(attributes) && d.deadline() <= now + margin)
     }
 
-    /// A front takes nothing on at all.
-    pub fn shuts(&self, front: u8) -> bool {
-        self.on.iter().any(|d| d.scope.covers_front(front))
+    /// Whether a drain closes a front to all new messages.
+    pub fn closes_front(&self, front: u8) -> bool {
+        self.active.iter().any(|d| d.scope.covers_front(front))
     }
 }
 
-/// What may have happened to a message that a strike finds.
+/// What may have happened to a message before the deadline of its drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum History {
-    /// No call of it has begun, or all that did provably never ran.
+    /// No call has begun, or every call that began provably never ran.
     NeverRan,
-    /// A call of it may have run, or is out now.
+    /// A call may have run, or is in flight.
     MayHaveRun,
 }
 
-/// The final answer of a message that a strike finds.
+/// The final answer of a message that has not ended at the deadline of its drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// Harmless to hand in again.
+    /// The client may safely submit the message again.
     HandBack,
-    /// Nothing is promised; it may have taken effect.
+    /// The message may have taken effect; nothing is guaranteed.
     GiveUp,
 }
 
-/// The table: what never ran goes back, and so does what may run again without harm. A keyed class repeats only inside
-/// its window and its group, and whoever hands it in elsewhere knows neither.
-pub fn answer(effect: Effect, history: History) -> Answer {
+/// Returns the final answer by effect and history. Messages that never ran are handed back, and so are those that may run
+/// again without harm. A keyed message is deduplicated only inside its window and group, and a client that submits it
+/// elsewhere knows neither, so it is given up once it may have run.
+pub fn final_answer(effect: Effect, history: History) -> Answer {
     match (effect, history) {
         (_, History::NeverRan) | (Effect::Safe, History::MayHaveRun) => Answer::HandBack,
         (Effect::Keyed { .. } | Effect::Unsafe, History::MayHaveRun) => Answer::GiveUp,
--- a/tests/drain_model.rs
+++ b/tests/drain_model.rs
@@ -2,7 +2,9 @@
 //! SIGKILL anywhere, also in the middle of a strike. The machine under test is the real one; what surrounds it is a small
 //! stand-in for the core that follows the same order of writes: what is decided is written down before it holds.
 
-use indigohold::drain::{self, Answer, Drains, History, Marks, Refusal, Scope, Stage, Wish};
+use indigohold::drain::{
+    self, Answer, DrainRequest, Drains, History, MessageAttributes, Refusal, Scope, Stage,
+};
 use indigohold::{DedupGroup, Effect, Micros};
 use stateright::{Checker, Model, Property};
 
@@ -76,8 +78,8 @@
 
 struct Whole;
 
-fn marks(msg: usize) -> Marks {
-    Marks { front: 0, dest: DESTS[msg], class: msg as u16, tenant: 0 }
+fn marks(msg: usize) -> MessageAttributes {
+    MessageAttributes { front: 0, dest: DESTS[msg], class: msg as u16, tenant: 0 }
 }
 
 fn open(at: At) -> bool {
@@ -93,7 +95,7 @@
     fn decide(&mut self, msg: usize) {
         let may_have_run = matches!(self.msgs[msg], At::Out | At::Risked);
         let history = if may_have_run { History::MayHaveRun } else { History::NeverRan };
-        let answer = match drain::answer(EFFECTS[msg], history) {
+        let answer = match drain::final_answer(EFFECTS[msg], history) {
             Answer::HandBack => Answer2::HandedBack,
             Answer::GiveUp => Answer2::GivenUp,
         };
@@ -112,7 +114,7 @@
     }
 
     fn strike(&mut self, most: Option<usize>) {
-        let due = self.drains.strike(self.now());
+        let due = self.drains.expire_due(self.now());
         for id in due {
             let scope = self.drains.get(id).unwrap().scope.clone();
             let found = self.found(&scope);
@@ -134,8 +136,13 @@
                 *at = At::Risked;
             }
         }
-        let struck: Vec<Scope> =
-            self.drains.on().iter().filter(|d| d.stage == Stage::Struck).map(|d| d.scope.clone()).collect();
+        let struck: Vec<Scope> = self
+            .drains
+            .active()
+            .iter()
+            .filter(|d| d.stage == Stage::Expired)
+            .map(|d| d.scope.clone())
+            .collect();
         for scope in struck {
             self.found(&scope).into_iter().for_each(|msg| self.decide(msg));
         }
@@ -143,7 +150,7 @@
     }
 
     fn covered(&self, msg: usize) -> bool {
-        self.drains.on().iter().any(|d| d.scope.covers(&marks(msg)))
+        self.drains.active().iter().any(|d| d.scope.covers(&marks(msg)))
     }
 }
 
@@ -176,7 +183,7 @@
                 acts.extend([None, Some(7)].map(|dest| Act::Start { by, dest }));
             }
         }
-        for id in w.drains.on().iter().map(|d| d.id) {
+        for id in w.drains.active().iter().map(|d| d.id) {
             acts.extend([Act::Cancel(id), Act::Close(id)]);
         }
         if w.crashes < 1 {
@@ -203,14 +210,19 @@
                 w.starts += 1;
                 w.strike(None);
                 let scope = Scope { dest, ..Scope::default() };
-                let wish = Wish { scope, by: Micros(by * S), reason: String::new(), elsewhere: None };
+                let wish = DrainRequest {
+                    scope,
+                    deadline: Micros(by * S),
+                    reason: String::new(),
+                    alternative_address: None,
+                };
                 if w.drains.start(now, wish, false, 0).is_ok() {
                     w.written = w.drains.clone();
                 }
             }
             Act::Cancel(id) => {
                 // Whoever looks first: the caller itself may find the deadline past.
-                let struck_before = w.drains.get(id).is_some_and(|d| d.stage == Stage::Struck);
+                let struck_before = w.drains.get(id).is_some_and(|d| d.stage == Stage::Expired);
                 match w.drains.cancel(now, id) {
                     Ok(()) => {
                         w.written = w.drains.clone();
@@ -219,8 +231,8 @@
                             w.fault = Some("a cancel won over a strike");
                         }
                     }
-                    Err(Refusal::Struck) if w.late.contains(&id) => return None,
-                    Err(Refusal::Struck) => w.late.push(id),
+                    Err(Refusal::Expired) if w.late.contains(&id) => return None,
+                    Err(Refusal::Expired) => w.late.push(id),
                     Err(_) => {}
                 }
             }
@@ -235,7 +247,7 @@
             }
             Act::HandIn(msg) => {
                 // A message of the same kind comes: taken, or turned away.
-                match w.drains.turns_away(now, &marks(msg), Micros(S)) {
+                match w.drains.rejection(now, &marks(msg), Micros(S)) {
                     None => {
                         if w.covered(msg) {
                             w.fault = Some("taken while it drains");
@@ -247,7 +259,7 @@
                         w.msgs[msg] = At::Waiting;
                     }
                     Some(turn) => {
-                        if !w.covered(msg) || turn.wait == Micros(0) {
+                        if !w.covered(msg) || turn.retry_after == Micros(0) {
                             w.fault = Some("turned away by nothing, or told to come at once");
                         }
                         return None;
@@ -275,7 +287,7 @@
             }
             Act::Crash => w.restart(),
             Act::CrashInStrike(most) => {
-                if w.drains.next_at().is_none_or(|at| at > now) {
+                if w.drains.next_deadline().is_none_or(|at| at > now) {
                     return None;
                 }
                 w.strike(Some(most));
@@ -311,9 +323,9 @@
             }),
             Property::always("after a strike nothing is left undecided", |_, w: &World| {
                 w.drains
-                    .on()
+                    .active()
                     .iter()
-                    .filter(|d| d.stage == Stage::Struck)
+                    .filter(|d| d.stage == Stage::Expired)
                     .all(|d| w.found(&d.scope).is_empty())
             }),
             Property::always("what is told is written", |_, w: &World| {
@@ -373,9 +385,9 @@
         fn properties(&self) -> Vec<Property<Self>> {
             vec![Property::always("after a strike nothing is left undecided", |_, w: &World| {
                 w.drains
-                    .on()
+                    .active()
                     .iter()
-                    .filter(|d| d.stage == Stage::Struck)
+                    .filter(|d| d.stage == Stage::Expired)
                     .all(|d| w.found(&d.scope).is_empty())
             })]
         }
