--- a/src/comeback/memory.rs
+++ b/src/comeback/memory.rs
@@ -36,7 +36,8 @@
 /// The initial send rate as a multiple of the demand: what piled up in T seconds is delivered after 2 T. A higher rate
 /// would bring back the burst that the initial rate prevents.
 pub const CATCH_UP_FACTOR: f64 = 1.5;
-/// The lowest initial send rate, in calls per second. A client that has one message in ten seconds sometimes submits two.
+/// The lowest initial send rate, in calls per second. A destination with one
+/// message in ten seconds sometimes gets two.
 pub const MIN_INITIAL_RATE_PER_S: f64 = 1.0;
 
 /// Demand by destination, in messages per second.
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -163,7 +163,7 @@
 }
 
 impl Core {
-    /// RecentEnds the pending messages of drains whose deadline has come. When the process starts (`resuming`), it also
+    /// Ends the pending messages of drains whose deadline has come. When the process starts (`resuming`), it also
     /// continues with drains whose messages an earlier run had begun to end.
     pub(super) fn apply_due_drains(&mut self, now: Micros, resuming: bool) {
         if !self.is_active() {
--- a/src/drain/mod.rs
+++ b/src/drain/mod.rs
@@ -143,7 +143,7 @@
 pub enum Refusal {
     /// The process is stopping; a drain needs a process that keeps running.
     Ending,
-    /// The deadline is past, or further away than [`MAX_DEADLINE`].
+    /// The deadline is past, or more than seven days away.
     Deadline,
     /// The maximum number of drains is active already.
     TooMany,
@@ -290,7 +290,7 @@
         }
     }
 
-    /// MessageAttributes the drains whose deadline has come as expired and returns their numbers. Each is returned only once.
+    /// Marks the drains whose deadline has come as expired and returns their numbers. Each is returned only once.
     pub fn expire_due(&mut self, now: Micros) -> Vec<u64> {
         let mut expired = Vec::new();
         for drain in self.active.iter_mut().filter(|d| d.is_due(now)) {
