--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -1,7 +1,7 @@
 //! The core: a small blocking facade around the decision module, which it alone owns. It knows no wire
 //! protocol.
 //!
-//! [`Courier::report`] processes a report and answers at once, [`Courier::pick`] blocks until the next order, and
+//! [`Courier::report`] processes a report and answers at once, [`Courier::next_order`] blocks until the next order, and
 //! [`Courier::tick`] advances time. The fronts see reqs, fetches and verdicts, never the module's events or actions.
 
 mod admission;
--- a/src/core/neighbours.rs
+++ b/src/core/neighbours.rs
@@ -159,7 +159,7 @@
         self.state().may_probe(now, probe)
     }
 
-    /// Reports the end of a probe. `Moot` means that it was not sent.
+    /// Reports the end of a probe. `NotSent` means that it was not sent.
     pub fn probed(&self, probe: &Probe, outcome: Outcome, latency: Micros, load: Vec<f32>) {
         let now = self.clock.now();
         self.state().probed(now, probe, outcome, latency, load);
