--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,5 +1,5 @@
 //! All decisions of a sender, one file for each topic; this file decides nothing. The events and actions are
-//! defined in `src/api/`, and the plain state in `src/state/`. Each file begins with its tuned constants.
+//! defined in `src/api/`, and the plain state in `src/state/`. Each file begins with its constants.
 //!
 //! Suggested reading order: `round` (the steps of a round), `retries` and `send_rate` (the core of the
 //! design), `health` and `slow_start` (the protection around it), `outcomes`, `endpoint_list`,
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,4 +1,4 @@
-//! Plain state and helpers of the sender. All decisions and tuned values are in `src/policy/`.
+//! Plain state and helpers of the sender. All decisions and their constants are in `src/policy/`.
 
 mod records;
 mod send_queue;
