--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -1,5 +1,5 @@
-//! Most of several processes are killed at once and come back on their folders. Stand-ins keep the time of what they tell and
-//! of what reaches them.
+//! Recovery after most couriers of a fleet were killed at once and restarted on their state folders: waits that partners
+//! demanded with Retry-After stay in force, and messages that piled up are sent at a limited rate.
 
 mod support;
 
@@ -11,34 +11,39 @@
 use support::crowd::*;
 use support::*;
 
-const WAIT: Duration = Duration::from_millis(6000);
+/// The wait that the partner's first answer demands, in the header `X-RateLimit-Wait-Ms`.
+const RETRY_AFTER: Duration = Duration::from_millis(6000);
 
-/// A partner that turns its first call away with a wait, and takes the others.
+/// What the partner records of the calls that it receives.
 #[derive(Default)]
-struct Book {
-    told: Option<Instant>,
+struct PartnerLog {
+    /// The time just before it demanded the wait.
+    wait_demanded_at: Option<Instant>,
+    /// The time of each call.
     calls: Vec<Instant>,
 }
 
-fn partner(book: &Arc<Mutex<Book>>) -> SocketAddr {
+/// Starts a partner that answers its first call with 429 and a wait, and all later calls with 200.
+fn start_partner(log: &Arc<Mutex<PartnerLog>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let book = book.clone();
+    let log = log.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
-            let book = book.clone();
+            let log = log.clone();
             thread::spawn(move || {
                 let mut writer = stream.try_clone().unwrap();
                 let mut reader = BufReader::new(stream);
                 while read_http(&mut reader).is_some() {
-                    let mut book = book.lock().unwrap();
-                    book.calls.push(Instant::now());
-                    let text = match book.calls.len() {
+                    let mut log = log.lock().unwrap();
+                    log.calls.push(Instant::now());
+                    let text = match log.calls.len() {
                         1 => "HTTP/1.1 429 Later\r\nX-RateLimit-Wait-Ms: 6000\r\nContent-Length: 0\r\n\r\n",
                         _ => "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n",
                     };
-                    // Read before it is written: this thread may be held up behind the write, and a wait that is kept would seem short.
-                    book.told.get_or_insert_with(Instant::now);
+                    // The clock is read before the write: this thread may be delayed after the write, and a wait that
+                    // was observed in full would then seem too short.
+                    log.wait_demanded_at.get_or_insert_with(Instant::now);
                     let _ = writer.write_all(text.as_bytes());
                 }
             });
@@ -47,61 +52,64 @@
     addr
 }
 
-/// Four are told to wait; two are then killed, one ends by SIGTERM, one goes on. All are asked to deliver at once again:
-/// nothing goes to the partner before the wait is over, and everything soon after it.
+/// Four couriers receive a Retry-After; then two of them are killed, one ends after SIGTERM, and one keeps running. Each gets
+/// a second message at once. Checks that no courier calls its partner before the end of the wait, and that each delivers both
+/// messages afterwards.
 #[test]
-fn a_told_wait_outlives_its_process() {
+fn a_retry_after_wait_stays_in_force_across_restarts() {
     let fleet: Vec<_> = (0..4)
         .map(|_| {
-            let (mut site, book) = (site(256, 64), Arc::<Mutex<Book>>::default());
-            site.list(&[instance("s-0", partner(&book), 3, "up").replace("50.0", "50000.0")]);
-            (site, book)
+            let (mut site, log) = (site(256, 64), Arc::<Mutex<PartnerLog>>::default());
+            site.list(&[instance("s-0", start_partner(&log), 3, "up").replace("50.0", "50000.0")]);
+            (site, log)
         })
         .collect();
     let mut programs: Vec<_> = fleet.iter().map(|(site, _)| site.start()).collect();
     for (_, addr) in &programs {
         assert_eq!(send(&mut connect(*addr), "m0"), Seen::Status(202));
     }
-    for (n, (_, book)) in fleet.iter().enumerate() {
-        until(&format!("the wait of {n}"), || book.lock().unwrap().told.is_some());
+    for (n, (_, log)) in fleet.iter().enumerate() {
+        until(&format!("the wait of courier {n}"), || log.lock().unwrap().wait_demanded_at.is_some());
     }
-    // An answer that is still in its socket tells nobody anything: the wait is heard and kept within this.
+    // The answer may still be in a socket buffer. Within this time the courier has received it and stored the wait.
     thread::sleep(Duration::from_millis(200));
-    let last = programs.pop().unwrap();
-    let (mut ends, _) = programs.remove(0);
-    ends.signal("TERM");
+    let running = programs.pop().unwrap();
+    let (mut ending, _) = programs.remove(0);
+    ending.signal("TERM");
     programs.drain(..).for_each(|(program, _)| program.kill());
-    let killed: Vec<_> = fleet[1..3].iter().map(|(site, _)| site.start()).collect();
-    assert!(ends.child.wait().unwrap().success());
-    let mut back = vec![fleet[0].0.start()];
-    back.extend(killed);
-    back.push(last);
-    for (n, (_, addr)) in back.iter().enumerate() {
-        let told = fleet[n].1.lock().unwrap().told.unwrap();
-        assert!(told.elapsed() < WAIT, "this machine took so long that the wait is over");
+    let after_kill: Vec<_> = fleet[1..3].iter().map(|(site, _)| site.start()).collect();
+    assert!(ending.child.wait().unwrap().success());
+    let mut recovered = vec![fleet[0].0.start()];
+    recovered.extend(after_kill);
+    recovered.push(running);
+    for (n, (_, addr)) in recovered.iter().enumerate() {
+        let demanded_at = fleet[n].1.lock().unwrap().wait_demanded_at.unwrap();
+        assert!(demanded_at.elapsed() < RETRY_AFTER, "this machine was too slow: the wait has ended");
         assert_eq!(send(&mut connect(*addr), "m1"), Seen::Status(202));
     }
-    for (n, (_, book)) in fleet.iter().enumerate() {
-        until(&format!("both deliveries of {n}"), || book.lock().unwrap().calls.len() >= 3);
-        let book = book.lock().unwrap();
-        let after: Vec<Duration> = book.calls[1..].iter().map(|at| *at - book.told.unwrap()).collect();
+    for (n, (_, log)) in fleet.iter().enumerate() {
+        until(&format!("both deliveries of courier {n}"), || log.lock().unwrap().calls.len() >= 3);
+        let log = log.lock().unwrap();
+        let delays: Vec<Duration> =
+            log.calls[1..].iter().map(|at| *at - log.wait_demanded_at.unwrap()).collect();
         assert!(
-            after.iter().all(|d| *d >= WAIT),
-            "courier {n} called {after:?} after a wait of 6 s was told"
+            delays.iter().all(|delay| *delay >= RETRY_AFTER),
+            "courier {n} called {delays:?} after the partner demanded a wait of 6 s"
         );
     }
 }
 
-/// Six share a partner and are asked five messages a second each; five are killed at once, and thirty messages for each have
-/// piled up at its clients. They go out by what the former life was asked, not all in the first second; who was not away, and
-/// one whose folder is lost, know nothing of that and send at once. All of them are delivered.
+/// Six couriers send to one partner, and each accepts five messages a second. Five are killed at once, and thirty messages
+/// pile up for each at its clients. Guards against a burst: the recovered couriers must send at a rate derived from the demand
+/// of their previous run, not everything in the first second. The courier that kept running, and one whose state folder was
+/// deleted, have no stored demand and send at once. All messages are delivered.
 #[test]
-fn what_piled_up_goes_out_by_the_demand_of_the_former_life() {
+fn recovered_couriers_limit_their_send_rate_by_the_demand_of_the_previous_run() {
     let mut fleet: Vec<Site> = (0..6).map(|_| site(256, 64)).collect();
     let partner = fleet[0].endpoint.addr;
     for site in &mut fleet {
         site.list(&[instance("s-0", partner, 3, "up")]);
-        // Nobody tells a limit.
+        // No endpoint reports a limit.
         site.config["settings"]["weights"] = "off".into();
         site.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
     }
@@ -110,31 +118,36 @@
     let began = Instant::now();
     for n in 0..20 {
         thread::sleep((began + n * Duration::from_millis(200)).saturating_duration_since(Instant::now()));
-        for (c, client) in clients.iter_mut().enumerate() {
-            assert_eq!(send(client, &format!("a{c}-{n}")), Seen::Status(202));
+        for (courier, client) in clients.iter_mut().enumerate() {
+            assert_eq!(send(client, &format!("a{courier}-{n}")), Seen::Status(202));
         }
     }
     let delivered = |prefix: &str| {
         let calls = fleet[0].endpoint.calls.lock().unwrap();
-        calls.iter().filter(|c| c.header("req-id").unwrap().starts_with(prefix)).count()
+        calls.iter().filter(|call| call.header("req-id").unwrap().starts_with(prefix)).count()
     };
     until("the first deliveries", || delivered("a") == 120);
     thread::sleep(Duration::from_millis(1200));
     programs.drain(1..).for_each(|(program, _)| program.kill());
     std::fs::remove_dir_all(fleet[5].folder.0.join("state")).unwrap();
-    let back: Vec<_> = fleet[1..].iter().map(Site::start).collect();
-    let addrs: Vec<SocketAddr> = programs.iter().chain(&back).map(|(_, addr)| *addr).collect();
-    let handed_in = Instant::now();
-    for (c, addr) in addrs.iter().enumerate() {
+    let recovered: Vec<_> = fleet[1..].iter().map(Site::start).collect();
+    let addrs: Vec<SocketAddr> = programs.iter().chain(&recovered).map(|(_, addr)| *addr).collect();
+    let submitted_at = Instant::now();
+    for (courier, addr) in addrs.iter().enumerate() {
         let mut client = connect(*addr);
         for n in 0..30 {
-            assert_eq!(send(&mut client, &format!("b{c}-{n}")), Seen::Status(202));
+            assert_eq!(send(&mut client, &format!("b{courier}-{n}")), Seen::Status(202));
         }
     }
-    let soon = |c: usize| delivered(&format!("b{c}-"));
-    until("those that send at once", || soon(0) == 30 && soon(5) == 30);
-    until("all of them", || delivered("b") == 180);
-    // From 7.5 a second on, and growing. A machine that is busy makes it longer, never shorter.
-    let took = handed_in.elapsed();
-    assert!(took >= Duration::from_millis(1000), "thirty each for four went out within {took:?}");
+    let delivered_by = |courier: usize| delivered(&format!("b{courier}-"));
+    until("the deliveries of the two couriers without stored demand", || {
+        delivered_by(0) == 30 && delivered_by(5) == 30
+    });
+    until("all deliveries", || delivered("b") == 180);
+    // The initial rate is 7.5 messages per second and grows. A busy machine makes the time longer, never shorter.
+    let took = submitted_at.elapsed();
+    assert!(
+        took >= Duration::from_millis(1000),
+        "thirty messages of each of four couriers took only {took:?}"
+    );
 }
--- a/tests/drain_model.rs
+++ b/tests/drain_model.rs
@@ -1,6 +1,6 @@
-//! The drain under every interleaving: start, second start, cancel, close, deadline, outcomes, hand-ins, notices, and a
-//! SIGKILL anywhere, also in the middle of a strike. The machine under test is the real one; what surrounds it is a small
-//! stand-in for the core that follows the same order of writes: what is decided is written down before it holds.
+//! Model check of drains under every interleaving of start, second start, cancel, close, deadline, call outcomes, submissions,
+//! notices and a SIGKILL at any point, also while a drain expires. The drain state machine is the real one. The core around it
+//! is a small substitute with the same order of writes: a decision is written before it takes effect.
 
 use indigohold::drain::{
     self, Answer, DrainRequest, Drains, History, MessageAttributes, Refusal, Scope, Stage,
@@ -8,393 +8,393 @@
 use indigohold::{DedupGroup, Effect, Micros};
 use stateright::{Checker, Model, Property};
 
-const S: u64 = 1_000_000;
+const SECOND_US: u64 = 1_000_000;
 
-/// Two messages: a keyed one, and a safe one of another destination that a partial drain leaves alone.
-const EFFECTS: [Effect; MSGS] =
-    [Effect::Keyed { group: DedupGroup::All, window: Micros(8 * S) }, Effect::Safe];
-const DESTS: [u16; MSGS] = [7, 8];
-const MSGS: usize = 2;
-/// Time runs to here.
-const END: u64 = 3;
+/// Two messages: a keyed one, and a safe one to another destination, which is outside the scope of a partial drain.
+const EFFECTS: [Effect; MESSAGES] =
+    [Effect::Keyed { group: DedupGroup::All, window: Micros(8 * SECOND_US) }, Effect::Safe];
+const DESTINATIONS: [u16; MESSAGES] = [7, 8];
+const MESSAGES: usize = 2;
+/// The time in seconds at which the model's clock stops.
+const LAST_SECOND: u64 = 3;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum At {
-    Waiting,
-    Out,
-    /// Waiting, and an earlier call may have run.
-    Risked,
-    /// Decided: its client is owed the notice.
-    Owed(Answer2),
-    Ended(Answer2),
+enum Phase {
+    Queued,
+    InFlight,
+    /// No call is in flight, but an earlier one may have run.
+    MayHaveRun,
+    /// Its final answer is decided; the notice to its client is pending.
+    NoticePending(FinalAnswer),
+    Ended(FinalAnswer),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum Answer2 {
+enum FinalAnswer {
     Delivered,
     HandedBack,
     GivenUp,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
+struct State {
     now: u64,
     drains: Drains,
-    /// As the next life finds them.
+    /// The drains as written to disk, which the next process run reads.
     written: Drains,
-    msgs: [At; MSGS],
-    /// Final answers decided so far, and what they were decided on: (message, answer, may have run).
-    decided: Vec<(usize, Answer2, bool)>,
-    /// What callers were told: a cancel that won, and one that came too late, by drain.
-    won: Vec<u64>,
-    late: Vec<u64>,
-    /// Something happened that must not.
-    fault: Option<&'static str>,
+    messages: [Phase; MESSAGES],
+    /// The final answers so far: message, answer, and whether the message may have run.
+    decided: Vec<(usize, FinalAnswer, bool)>,
+    /// Drains whose cancel request succeeded, and drains whose cancel request was refused as too late.
+    cancelled: Vec<u64>,
+    late_cancels: Vec<u64>,
+    /// A rule that a step broke.
+    violation: Option<&'static str>,
     crashes: u8,
     starts: u8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Step {
     Tick,
-    /// The core looks at the time.
-    Look,
+    /// The core checks the deadlines.
+    CheckDeadlines,
     Start {
         by: u64,
         dest: Option<u16>,
     },
     Cancel(u64),
     Close(u64),
-    HandIn(usize),
-    Begin(usize),
+    Submit(usize),
+    BeginCall(usize),
     Delivered(usize),
     Lost(usize),
     Refused(usize),
-    Told(usize),
+    NoticeDelivered(usize),
     Crash,
-    /// The process dies when this many of the messages that a strike finds have been decided.
-    CrashInStrike(usize),
+    /// The process is killed after it has decided this many of the messages that an expired drain covers.
+    CrashDuringExpiry(usize),
 }
 
-struct Whole;
+struct DrainModel;
 
-fn marks(msg: usize) -> MessageAttributes {
-    MessageAttributes { front: 0, dest: DESTS[msg], class: msg as u16, tenant: 0 }
+fn attributes(msg: usize) -> MessageAttributes {
+    MessageAttributes { front: 0, dest: DESTINATIONS[msg], class: msg as u16, tenant: 0 }
 }
 
-fn open(at: At) -> bool {
-    matches!(at, At::Waiting | At::Out | At::Risked)
+fn is_open(phase: Phase) -> bool {
+    matches!(phase, Phase::Queued | Phase::InFlight | Phase::MayHaveRun)
 }
 
-impl World {
+impl State {
     fn now(&self) -> Micros {
-        Micros(self.now * S)
+        Micros(self.now * SECOND_US)
     }
 
-    /// Decides one message as a strike does, and writes it down: messages outlast a crash.
+    /// Decides one message as an expired drain does, and writes the decision: messages survive a crash.
     fn decide(&mut self, msg: usize) {
-        let may_have_run = matches!(self.msgs[msg], At::Out | At::Risked);
+        let may_have_run = matches!(self.messages[msg], Phase::InFlight | Phase::MayHaveRun);
         let history = if may_have_run { History::MayHaveRun } else { History::NeverRan };
         let answer = match drain::final_answer(EFFECTS[msg], history) {
-            Answer::HandBack => Answer2::HandedBack,
-            Answer::GiveUp => Answer2::GivenUp,
+            Answer::HandBack => FinalAnswer::HandedBack,
+            Answer::GiveUp => FinalAnswer::GivenUp,
         };
-        self.note((msg, answer, may_have_run));
-        self.msgs[msg] = At::Owed(answer);
+        self.record_answer((msg, answer, may_have_run));
+        self.messages[msg] = Phase::NoticePending(answer);
     }
 
-    /// In no order: it does not matter which came first.
-    fn note(&mut self, decided: (usize, Answer2, bool)) {
+    /// Records an answer. The list is sorted, as the order of decisions makes no difference to the state.
+    fn record_answer(&mut self, decided: (usize, FinalAnswer, bool)) {
         self.decided.push(decided);
         self.decided.sort_unstable();
     }
 
-    fn found(&self, scope: &Scope) -> Vec<usize> {
-        (0..MSGS).filter(|m| open(self.msgs[*m]) && scope.covers(&marks(*m))).collect()
+    fn open_in_scope(&self, scope: &Scope) -> Vec<usize> {
+        (0..MESSAGES).filter(|m| is_open(self.messages[*m]) && scope.covers(&attributes(*m))).collect()
     }
 
-    fn strike(&mut self, most: Option<usize>) {
+    fn expire_due(&mut self, max_decisions: Option<usize>) {
         let due = self.drains.expire_due(self.now());
         for id in due {
             let scope = self.drains.get(id).unwrap().scope.clone();
-            let found = self.found(&scope);
-            for msg in found.into_iter().take(most.unwrap_or(usize::MAX)) {
+            let open = self.open_in_scope(&scope);
+            for msg in open.into_iter().take(max_decisions.unwrap_or(usize::MAX)) {
                 self.decide(msg);
             }
         }
-        if most.is_none() {
+        if max_decisions.is_none() {
             self.written = self.drains.clone();
         }
     }
 
-    /// The next life: what is written is all there is. A call that was out may have run.
+    /// Restarts the process from the written state. A call that was in flight may have run.
     fn restart(&mut self) {
         self.crashes += 1;
         self.drains = self.written.clone();
-        for at in &mut self.msgs {
-            if *at == At::Out {
-                *at = At::Risked;
+        for phase in &mut self.messages {
+            if *phase == Phase::InFlight {
+                *phase = Phase::MayHaveRun;
             }
         }
-        let struck: Vec<Scope> = self
+        let expired: Vec<Scope> = self
             .drains
             .active()
             .iter()
             .filter(|d| d.stage == Stage::Expired)
             .map(|d| d.scope.clone())
             .collect();
-        for scope in struck {
-            self.found(&scope).into_iter().for_each(|msg| self.decide(msg));
+        for scope in expired {
+            self.open_in_scope(&scope).into_iter().for_each(|msg| self.decide(msg));
         }
-        self.strike(None);
+        self.expire_due(None);
     }
 
     fn covered(&self, msg: usize) -> bool {
-        self.drains.active().iter().any(|d| d.scope.covers(&marks(msg)))
+        self.drains.active().iter().any(|d| d.scope.covers(&attributes(msg)))
     }
 }
 
-impl Model for Whole {
-    type State = World;
-    type Action = Act;
+impl Model for DrainModel {
+    type State = State;
+    type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World {
+    fn init_states(&self) -> Vec<State> {
+        vec![State {
             now: 0,
             drains: Drains::default(),
             written: Drains::default(),
-            msgs: [At::Waiting; MSGS],
+            messages: [Phase::Queued; MESSAGES],
             decided: Vec::new(),
-            won: Vec::new(),
-            late: Vec::new(),
-            fault: None,
+            cancelled: Vec::new(),
+            late_cancels: Vec::new(),
+            violation: None,
             crashes: 0,
             starts: 0,
         }]
     }
 
-    fn actions(&self, w: &World, acts: &mut Vec<Act>) {
-        if w.now < END {
-            acts.push(Act::Tick);
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        if state.now < LAST_SECOND {
+            steps.push(Step::Tick);
         }
-        acts.push(Act::Look);
-        if w.starts < 2 {
+        steps.push(Step::CheckDeadlines);
+        if state.starts < 2 {
             for by in [1, 2] {
-                acts.extend([None, Some(7)].map(|dest| Act::Start { by, dest }));
+                steps.extend([None, Some(7)].map(|dest| Step::Start { by, dest }));
             }
         }
-        for id in w.drains.active().iter().map(|d| d.id) {
-            acts.extend([Act::Cancel(id), Act::Close(id)]);
+        for id in state.drains.active().iter().map(|d| d.id) {
+            steps.extend([Step::Cancel(id), Step::Close(id)]);
         }
-        if w.crashes < 1 {
-            acts.push(Act::Crash);
-            acts.extend((0..MSGS).map(Act::CrashInStrike));
+        if state.crashes < 1 {
+            steps.push(Step::Crash);
+            steps.extend((0..MESSAGES).map(Step::CrashDuringExpiry));
         }
-        for msg in 0..MSGS {
-            match w.msgs[msg] {
-                At::Waiting | At::Risked => acts.push(Act::Begin(msg)),
-                At::Out => acts.extend([Act::Delivered(msg), Act::Lost(msg), Act::Refused(msg)]),
-                At::Owed(_) => acts.push(Act::Told(msg)),
-                At::Ended(_) => acts.push(Act::HandIn(msg)),
+        for msg in 0..MESSAGES {
+            match state.messages[msg] {
+                Phase::Queued | Phase::MayHaveRun => steps.push(Step::BeginCall(msg)),
+                Phase::InFlight => steps.extend([Step::Delivered(msg), Step::Lost(msg), Step::Refused(msg)]),
+                Phase::NoticePending(_) => steps.push(Step::NoticeDelivered(msg)),
+                Phase::Ended(_) => steps.push(Step::Submit(msg)),
             }
         }
     }
 
-    fn next_state(&self, last: &World, act: Act) -> Option<World> {
-        let mut w = last.clone();
-        let now = w.now();
-        match act {
-            Act::Tick => w.now += 1,
-            Act::Look => w.strike(None),
-            Act::Start { by, dest } => {
-                w.starts += 1;
-                w.strike(None);
+    fn next_state(&self, previous: &State, step: Step) -> Option<State> {
+        let mut state = previous.clone();
+        let now = state.now();
+        match step {
+            Step::Tick => state.now += 1,
+            Step::CheckDeadlines => state.expire_due(None),
+            Step::Start { by, dest } => {
+                state.starts += 1;
+                state.expire_due(None);
                 let scope = Scope { dest, ..Scope::default() };
-                let wish = DrainRequest {
+                let request = DrainRequest {
                     scope,
-                    deadline: Micros(by * S),
+                    deadline: Micros(by * SECOND_US),
                     reason: String::new(),
                     alternative_address: None,
                 };
-                if w.drains.start(now, wish, false, 0).is_ok() {
-                    w.written = w.drains.clone();
+                if state.drains.start(now, request, false, 0).is_ok() {
+                    state.written = state.drains.clone();
                 }
             }
-            Act::Cancel(id) => {
-                // Whoever looks first: the caller itself may find the deadline past.
-                let struck_before = w.drains.get(id).is_some_and(|d| d.stage == Stage::Expired);
-                match w.drains.cancel(now, id) {
+            Step::Cancel(id) => {
+                // The deadline may have passed before the cancel request, without a tick since.
+                let expired_before = state.drains.get(id).is_some_and(|d| d.stage == Stage::Expired);
+                match state.drains.cancel(now, id) {
                     Ok(()) => {
-                        w.written = w.drains.clone();
-                        w.won.push(id);
-                        if struck_before {
-                            w.fault = Some("a cancel won over a strike");
+                        state.written = state.drains.clone();
+                        state.cancelled.push(id);
+                        if expired_before {
+                            state.violation = Some("an expired drain was cancelled");
                         }
                     }
-                    Err(Refusal::Expired) if w.late.contains(&id) => return None,
-                    Err(Refusal::Expired) => w.late.push(id),
+                    Err(Refusal::Expired) if state.late_cancels.contains(&id) => return None,
+                    Err(Refusal::Expired) => state.late_cancels.push(id),
                     Err(_) => {}
                 }
             }
-            Act::Close(id) => {
-                let scope = w.drains.get(id)?.scope.clone();
-                w.strike(None);
-                let left = (0..MSGS).filter(|m| !matches!(w.msgs[*m], At::Ended(_)));
-                let left = left.filter(|m| scope.covers(&marks(*m))).count() as u64;
-                if w.drains.close(now, id, left).is_ok() {
-                    w.written = w.drains.clone();
+            Step::Close(id) => {
+                let scope = state.drains.get(id)?.scope.clone();
+                state.expire_due(None);
+                let left = (0..MESSAGES).filter(|m| !matches!(state.messages[*m], Phase::Ended(_)));
+                let left = left.filter(|m| scope.covers(&attributes(*m))).count() as u64;
+                if state.drains.close(now, id, left).is_ok() {
+                    state.written = state.drains.clone();
                 }
             }
-            Act::HandIn(msg) => {
-                // A message of the same kind comes: taken, or turned away.
-                match w.drains.rejection(now, &marks(msg), Micros(S)) {
+            Step::Submit(msg) => {
+                // A message with the same attributes arrives; it is accepted or refused.
+                match state.drains.rejection(now, &attributes(msg), Micros(SECOND_US)) {
                     None => {
-                        if w.covered(msg) {
-                            w.fault = Some("taken while it drains");
+                        if state.covered(msg) {
+                            state.violation = Some("a message in the scope of a drain was accepted");
                         }
-                        // One more round is enough; more would be the same again.
-                        if w.decided.iter().filter(|d| d.0 == msg).count() > 1 {
+                        // Each message is submitted again at most once; further rounds would only repeat these states.
+                        if state.decided.iter().filter(|d| d.0 == msg).count() > 1 {
                             return None;
                         }
-                        w.msgs[msg] = At::Waiting;
+                        state.messages[msg] = Phase::Queued;
                     }
-                    Some(turn) => {
-                        if !w.covered(msg) || turn.retry_after == Micros(0) {
-                            w.fault = Some("turned away by nothing, or told to come at once");
+                    Some(rejection) => {
+                        if !state.covered(msg) || rejection.retry_after == Micros(0) {
+                            state.violation = Some("refused without a drain, or without a retry delay");
                         }
                         return None;
                     }
                 }
             }
-            Act::Begin(msg) => {
-                if !w.drains.may_begin(now, &marks(msg), Micros(0)) {
+            Step::BeginCall(msg) => {
+                if !state.drains.may_begin(now, &attributes(msg), Micros(0)) {
                     return None;
                 }
-                if w.msgs[msg] == At::Risked && EFFECTS[msg] == Effect::Unsafe {
+                if state.messages[msg] == Phase::MayHaveRun && EFFECTS[msg] == Effect::Unsafe {
                     return None;
                 }
-                w.msgs[msg] = At::Out;
+                state.messages[msg] = Phase::InFlight;
             }
-            Act::Delivered(msg) => {
-                w.note((msg, Answer2::Delivered, true));
-                w.msgs[msg] = At::Ended(Answer2::Delivered);
+            Step::Delivered(msg) => {
+                state.record_answer((msg, FinalAnswer::Delivered, true));
+                state.messages[msg] = Phase::Ended(FinalAnswer::Delivered);
             }
-            Act::Lost(msg) => w.msgs[msg] = At::Risked,
-            Act::Refused(msg) => w.msgs[msg] = At::Waiting,
-            Act::Told(msg) => {
-                let At::Owed(answer) = w.msgs[msg] else { return None };
-                w.msgs[msg] = At::Ended(answer);
+            Step::Lost(msg) => state.messages[msg] = Phase::MayHaveRun,
+            Step::Refused(msg) => state.messages[msg] = Phase::Queued,
+            Step::NoticeDelivered(msg) => {
+                let Phase::NoticePending(answer) = state.messages[msg] else { return None };
+                state.messages[msg] = Phase::Ended(answer);
             }
-            Act::Crash => w.restart(),
-            Act::CrashInStrike(most) => {
-                if w.drains.next_deadline().is_none_or(|at| at > now) {
+            Step::Crash => state.restart(),
+            Step::CrashDuringExpiry(decisions) => {
+                if state.drains.next_deadline().is_none_or(|at| at > now) {
                     return None;
                 }
-                w.strike(Some(most));
-                w.restart();
+                state.expire_due(Some(decisions));
+                state.restart();
             }
         }
-        Some(w)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("nothing that must not be", |_, w: &World| w.fault.is_none()),
-            Property::always("an answer fits its history", |_, w: &World| {
-                w.decided.iter().all(|(msg, answer, may_have_run)| match answer {
-                    Answer2::Delivered => true,
-                    Answer2::HandedBack => !may_have_run || EFFECTS[*msg] == Effect::Safe,
-                    Answer2::GivenUp => *may_have_run && EFFECTS[*msg] != Effect::Safe,
+            Property::always("no step breaks a rule", |_, s: &State| s.violation.is_none()),
+            Property::always("every final answer fits its message's history", |_, s: &State| {
+                s.decided.iter().all(|(msg, answer, may_have_run)| match answer {
+                    FinalAnswer::Delivered => true,
+                    FinalAnswer::HandedBack => !may_have_run || EFFECTS[*msg] == Effect::Safe,
+                    FinalAnswer::GivenUp => *may_have_run && EFFECTS[*msg] != Effect::Safe,
                 })
             }),
-            Property::always("a message is decided once", |_, w: &World| {
-                // Handed in a second time it is another message, so at most twice in all.
-                (0..MSGS).all(|msg| {
-                    let times = w.decided.iter().filter(|d| d.0 == msg).count();
-                    let open = usize::from(open(w.msgs[msg]));
-                    times + open <= 3
+            Property::always("a message is decided once", |_, s: &State| {
+                // A second submission is another message, so there are at most two decisions in all.
+                (0..MESSAGES).all(|msg| {
+                    let decisions = s.decided.iter().filter(|d| d.0 == msg).count();
+                    let undecided = usize::from(is_open(s.messages[msg]));
+                    decisions + undecided <= 3
                 })
             }),
-            Property::always("cancel or strike, never both", |_, w: &World| {
-                w.won.iter().all(|id| {
-                    let drain = w.drains.get(*id);
-                    !w.late.contains(id) && drain.is_none_or(|d| d.stage == Stage::Cancelled)
+            Property::always("a drain is cancelled or expires, never both", |_, s: &State| {
+                s.cancelled.iter().all(|id| {
+                    let drain = s.drains.get(*id);
+                    !s.late_cancels.contains(id) && drain.is_none_or(|d| d.stage == Stage::Cancelled)
                 })
             }),
-            Property::always("after a strike nothing is left undecided", |_, w: &World| {
-                w.drains
+            Property::always("an expired drain leaves no message undecided", |_, s: &State| {
+                s.drains
                     .active()
                     .iter()
                     .filter(|d| d.stage == Stage::Expired)
-                    .all(|d| w.found(&d.scope).is_empty())
+                    .all(|d| s.open_in_scope(&d.scope).is_empty())
             }),
-            Property::always("what is told is written", |_, w: &World| {
-                // A stop now would lose nothing that a caller was told, but for strikes, which repeat by themselves.
-                w.won.iter().all(|id| w.written.get(*id).is_some_and(|d| d.stage == Stage::Cancelled))
+            Property::always("a confirmed cancel is written", |_, s: &State| {
+                // A crash must not lose a confirmed cancel. An expiry that it loses is repeated after the restart.
+                s.cancelled.iter().all(|id| s.written.get(*id).is_some_and(|d| d.stage == Stage::Cancelled))
             }),
-            Property::sometimes("a cancel wins", |_, w: &World| !w.won.is_empty()),
-            Property::sometimes("a cancel comes too late", |_, w: &World| !w.late.is_empty()),
-            Property::sometimes("a strike gives up", |_, w: &World| {
-                w.msgs.iter().any(|m| matches!(m, At::Owed(Answer2::GivenUp)))
+            Property::sometimes("a cancel succeeds", |_, s: &State| !s.cancelled.is_empty()),
+            Property::sometimes("a cancel comes too late", |_, s: &State| !s.late_cancels.is_empty()),
+            Property::sometimes("an expired drain gives a message up", |_, s: &State| {
+                s.messages.iter().any(|m| matches!(m, Phase::NoticePending(FinalAnswer::GivenUp)))
             }),
-            Property::sometimes("service resumes", |_, w: &World| {
-                !w.won.is_empty()
-                    && w.msgs[0] == At::Waiting
-                    && w.decided.iter().any(|d| d.0 == 0 && d.1 == Answer2::Delivered)
+            Property::sometimes("service resumes", |_, s: &State| {
+                !s.cancelled.is_empty()
+                    && s.messages[0] == Phase::Queued
+                    && s.decided.iter().any(|d| d.0 == 0 && d.1 == FinalAnswer::Delivered)
             }),
         ]
     }
 
-    fn within_boundary(&self, w: &World) -> bool {
-        w.decided.len() <= 3 && w.late.len() <= 1
+    fn within_boundary(&self, state: &State) -> bool {
+        state.decided.len() <= 3 && state.late_cancels.len() <= 1
     }
 }
 
 #[test]
-fn every_interleaving_keeps_the_rules() {
-    let checker = Whole.checker().threads(2).spawn_bfs().join();
+fn every_interleaving_satisfies_the_properties() {
+    let checker = DrainModel.checker().threads(2).spawn_bfs().join();
     println!("{} states, {} of them unique", checker.state_count(), checker.unique_state_count());
-    assert!(checker.unique_state_count() > 10_000, "the model has shrunk to nothing");
+    assert!(checker.unique_state_count() > 10_000, "the model has too few states");
     checker.assert_properties();
 }
 
-/// The checker bites: a strike that forgets what is out leaves a message undecided, and is caught.
+/// Checks the model itself: an expiry that skips calls in flight leaves a message undecided, and the checker reports it.
 #[test]
-fn a_wrong_strike_is_found() {
-    struct Wrong;
-    impl Model for Wrong {
-        type State = World;
-        type Action = Act;
-        fn init_states(&self) -> Vec<World> {
-            Whole.init_states()
+fn an_expiry_that_skips_calls_in_flight_is_detected() {
+    struct FaultyModel;
+    impl Model for FaultyModel {
+        type State = State;
+        type Action = Step;
+        fn init_states(&self) -> Vec<State> {
+            DrainModel.init_states()
         }
-        fn actions(&self, w: &World, acts: &mut Vec<Act>) {
-            Whole.actions(w, acts);
+        fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+            DrainModel.actions(state, steps);
         }
-        fn next_state(&self, last: &World, act: Act) -> Option<World> {
-            let mut next = Whole.next_state(last, act)?;
-            if act == Act::Look {
-                for (was, is) in last.msgs.iter().zip(&mut next.msgs) {
-                    if *was == At::Out {
-                        *is = At::Out;
+        fn next_state(&self, previous: &State, step: Step) -> Option<State> {
+            let mut next = DrainModel.next_state(previous, step)?;
+            if step == Step::CheckDeadlines {
+                for (was, is) in previous.messages.iter().zip(&mut next.messages) {
+                    if *was == Phase::InFlight {
+                        *is = Phase::InFlight;
                     }
                 }
             }
             Some(next)
         }
         fn properties(&self) -> Vec<Property<Self>> {
-            vec![Property::always("after a strike nothing is left undecided", |_, w: &World| {
-                w.drains
+            vec![Property::always("an expired drain leaves no message undecided", |_, s: &State| {
+                s.drains
                     .active()
                     .iter()
                     .filter(|d| d.stage == Stage::Expired)
-                    .all(|d| w.found(&d.scope).is_empty())
+                    .all(|d| s.open_in_scope(&d.scope).is_empty())
             })]
         }
-        fn within_boundary(&self, w: &World) -> bool {
-            Whole.within_boundary(w)
+        fn within_boundary(&self, state: &State) -> bool {
+            DrainModel.within_boundary(state)
         }
     }
-    let checker = Wrong.checker().spawn_bfs().join();
-    assert!(checker.discovery("after a strike nothing is left undecided").is_some());
+    let checker = FaultyModel.checker().spawn_bfs().join();
+    assert!(checker.discovery("an expired drain leaves no message undecided").is_some());
 }
