--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -1,5 +1,5 @@
-//! Recovery after most couriers of a fleet were killed at once and restarted on their state folders: waits that partners
-//! demanded with Retry-After stay in force, and messages that piled up are sent at a limited rate.
+//! Recovery after most couriers of a fleet were killed at once and restarted on their state folders: waits that
+//! partners demanded with Retry-After stay in force, and messages that piled up are sent at a limited rate.
 
 mod support;
 
@@ -52,9 +52,9 @@
     addr
 }
 
-/// Four couriers receive a Retry-After; then two of them are killed, one ends after SIGTERM, and one keeps running. Each gets
-/// a second message at once. Checks that no courier calls its partner before the end of the wait, and that each delivers both
-/// messages afterwards.
+/// Four couriers receive a Retry-After; then two of them are killed, one ends after SIGTERM, and one keeps running.
+/// Each gets a second message at once. Checks that no courier calls its partner before the end of the wait, and that
+/// each delivers both messages afterwards.
 #[test]
 fn a_retry_after_wait_stays_in_force_across_restarts() {
     let fleet: Vec<_> = (0..4)
@@ -99,10 +99,10 @@
     }
 }
 
-/// Six couriers send to one partner, and each accepts five messages a second. Five are killed at once, and thirty messages
-/// pile up for each at its clients. Guards against a burst: the recovered couriers must send at a rate derived from the demand
-/// of their previous run, not everything in the first second. The courier that kept running, and one whose state folder was
-/// deleted, have no stored demand and send at once. All messages are delivered.
+/// Six couriers send to one partner, and each accepts five messages a second. Five are killed at once, and thirty
+/// messages pile up for each at its clients. Guards against a burst: the recovered couriers must send at a rate
+/// derived from the demand of their previous run, not everything in the first second. The courier that kept running,
+/// and one whose state folder was deleted, have no stored demand and send at once. All messages are delivered.
 #[test]
 fn recovered_couriers_limit_their_send_rate_by_the_demand_of_the_previous_run() {
     let mut fleet: Vec<Site> = (0..6).map(|_| site(256, 64)).collect();
--- a/tests/drain_model.rs
+++ b/tests/drain_model.rs
@@ -1,6 +1,6 @@
-//! Model check of drains under every interleaving of start, second start, cancel, close, deadline, call outcomes, submissions,
-//! notices and a SIGKILL at any point, also while a drain expires. The drain state machine is the real one. The core around it
-//! is a small substitute with the same order of writes: a decision is written before it takes effect.
+//! Model check of drains under every interleaving of start, second start, cancel, close, deadline, outcomes, submissions, notices
+//! and a SIGKILL at any point, also while a drain expires. The drain state machine is the real one. The core around it is a
+//! small substitute with the same order of writes: a decision is written before it takes effect.
 
 use indigohold::drain::{
     self, Answer, DrainRequest, Drains, History, MessageAttributes, Refusal, Scope, Stage,
@@ -358,7 +358,7 @@
     checker.assert_properties();
 }
 
-/// Checks the model itself: an expiry that skips calls in flight leaves a message undecided, and the checker reports it.
+/// Checks the model itself: an expiry that skips calls in flight leaves a message undecided, which must be reported.
 #[test]
 fn an_expiry_that_skips_calls_in_flight_is_detected() {
     struct FaultyModel;
