--- a/src/admin/door.rs
+++ b/src/admin/door.rs
@@ -64,7 +64,7 @@
 
 /// Takes the door's address.
 pub fn bind(addr: SocketAddr) -> io::Result<std::net::TcpListener> {
-    crate::net::lobby::bind(&addr.to_string(), 256)
+    crate::net::acceptor::bind(&addr.to_string(), 256)
 }
 
 /// Serves the door for as long as the process lives; says where it is.
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -122,13 +122,13 @@
         let _ = write!(out, "{name}: {open} of {} places held", tally.places);
         let _ =
             write!(out, "{}", if open > 0 { format!(" ({})", words(&tally.open)) } else { String::new() });
-        let _ = write!(out, "; {} let in, {} requests answered", tally.let_in, tally.answered);
-        if !tally.made_room.is_empty() {
-            let _ = write!(out, "; made room: {}", words(&tally.made_room));
+        let _ = write!(out, "; {} let in, {} requests answered", tally.accepted, tally.answered);
+        if !tally.evicted.is_empty() {
+            let _ = write!(out, "; made room: {}", words(&tally.evicted));
         }
-        if tally.kept_waiting + tally.no_descriptor > 0 {
-            let _ = write!(out, "; kept waiting {} times", tally.kept_waiting);
-            let _ = write!(out, ", no descriptor {} times", tally.no_descriptor);
+        if tally.deferred + tally.descriptor_shortages > 0 {
+            let _ = write!(out, "; kept waiting {} times", tally.deferred);
+            let _ = write!(out, ", no descriptor {} times", tally.descriptor_shortages);
         }
         out.push('\n');
     }
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -8,9 +8,9 @@
 use crate::core::draining::Progress;
 use crate::core::Courier;
 use crate::drain::Refusal;
+use crate::net::acceptor::AcceptorHandle;
 use crate::net::ask::Asker;
 use crate::net::errors::{accept_fault, AcceptFault};
-use crate::net::lobby::Door;
 use crate::net::peers::published::Published;
 use crate::net::platform::http;
 use crate::net::pool::{Pool, BODY_MOST, HEAD_MOST};
@@ -33,7 +33,7 @@
 struct Control {
     courier: Arc<Courier>,
     words: Words,
-    doors: Vec<Door>,
+    doors: Vec<AcceptorHandle>,
     fleet: Option<Asker>,
     shared: Option<Arc<Published>>,
     pool: Pool,
@@ -76,7 +76,7 @@
 
 /// Starts the listener.
 pub fn serve(
-    courier: &Arc<Courier>, config: &ControlConfig, words: Words, doors: Vec<Door>,
+    courier: &Arc<Courier>, config: &ControlConfig, words: Words, doors: Vec<AcceptorHandle>,
     shared: Option<Arc<Published>>, fleet: Option<Asker>, take_over: bool,
 ) -> io::Result<()> {
     let listener = bind(&config.socket, take_over)?;
@@ -237,7 +237,7 @@
             owed: self.courier.owed() as u64,
             backends: self.courier.backends() as u64,
             ending: self.courier.is_stopping(),
-            clients: self.doors.iter().flat_map(|d| d.tallies()).map(|(n, t)| (n.to_owned(), t)).collect(),
+            clients: self.doors.iter().flat_map(|d| d.stats()).map(|(n, t)| (n.to_owned(), t)).collect(),
             drains,
             shared: self.shared.as_ref().map(|shared| shared.json(self.courier.clock.now())),
         }
--- a/src/control/shape.rs
+++ b/src/control/shape.rs
@@ -3,7 +3,7 @@
 use crate::api::Micros;
 use crate::core::draining::{Counts, Progress};
 use crate::drain::{DrainRequest, Refusal, Scope, Stage, MAX_TEXT_BYTES};
-use crate::net::lobby::Tally;
+use crate::net::acceptor::AcceptorStats;
 use crate::net::{mail, platform};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -129,7 +129,7 @@
     pub ending: bool,
     /// Connections of clients, by listener.
     #[serde(default)]
-    pub clients: BTreeMap<String, Tally>,
+    pub clients: BTreeMap<String, AcceptorStats>,
     /// Drains that are on.
     pub drains: Vec<DrainShape>,
     /// What the fleet believes, where state is shared.
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -211,7 +211,7 @@
                 .map_err(fail)?;
         let listener = match inherited.or(taken_listener.take()) {
             Some(listener) => listener,
-            None => net::lobby::bind(&listen, admission.platform.backlog)
+            None => net::acceptor::bind(&listen, admission.platform.backlog)
                 .map_err(|e| format!("listen: {listen}: {e}"))?,
         };
         let sessions = std::mem::take(&mut sessions);
@@ -334,7 +334,7 @@
                 doors.iter().for_each(|d| d.close());
             }
             // Danger: a fetch cut off here may have run, and costs its message an answer or a repeat.
-            let open: usize = doors.iter().map(|d| d.count()).sum();
+            let open: usize = doors.iter().map(|d| d.connection_count()).sum();
             let out: usize = conns.iter().map(|c| c.out()).sum();
             let idle = open + out == 0;
             let told = left_at.is_none() || told.load(Ordering::SeqCst);
--- a/src/net/mail/mod.rs
+++ b/src/net/mail/mod.rs
@@ -9,8 +9,8 @@
 pub mod lines;
 pub mod server;
 
+use super::acceptor::{self, AcceptorHandle, BufferLimits, ClientProtocol, ConnectionAcceptor};
 use super::conn::Conns;
-use super::lobby::{self, Door, HeldRoom, Lobby, Talker};
 use super::pool::{Pool, BUF_BYTES};
 use super::{spawn, Front};
 use crate::admission::config::Wishes;
@@ -45,7 +45,7 @@
     /// The fetches' connections.
     pub conns: Arc<Conns>,
     /// Client sessions.
-    pub door: Door,
+    pub door: AcceptorHandle,
     admission: Wishes,
     zones: OnceLock<Zones>,
 }
@@ -67,7 +67,7 @@
         config,
         pool: Pool::new(16),
         conns: conns.clone(),
-        door: Door::new(),
+        door: AcceptorHandle::new(),
         admission,
         zones: OnceLock::new(),
     });
@@ -118,7 +118,7 @@
     let tcp = |what: &str, addr: Option<SocketAddr>| match addr {
         None => Ok(None),
         Some(addr) => {
-            lobby::bind(&addr.to_string(), backlog).map(Some).map_err(|e| format!("{what}: {addr}: {e}"))
+            acceptor::bind(&addr.to_string(), backlog).map(Some).map_err(|e| format!("{what}: {addr}: {e}"))
         }
     };
     let smtp = tcp("smtp", config.smtp)?;
@@ -160,12 +160,15 @@
     Ok(())
 }
 
-/// Starts the lobby of one listener.
-fn seat<F: Talker>(mail: &Mail, name: &'static str, listener: TcpListener, clients: F) -> io::Result<()> {
+/// Starts the connection acceptor of one listener.
+fn seat<F: ClientProtocol>(
+    mail: &Mail, name: &'static str, listener: TcpListener, clients: F,
+) -> io::Result<()> {
     let rules = mail.admission.rules(usize::MAX);
-    let room = HeldRoom { all: HELD_MOST, one: BUF_BYTES };
-    let lobby = Lobby::new(name, clients, listener, &mail.door, mail.courier.clock, rules, room)?;
-    spawn("mail-lobby", move || lobby.run()).map(|_| ())
+    let room = BufferLimits { total: HELD_MOST, per_connection: BUF_BYTES };
+    let acceptor =
+        ConnectionAcceptor::new(name, clients, listener, &mail.door, mail.courier.clock, rules, room)?;
+    spawn("mail-lobby", move || acceptor.run()).map(|_| ())
 }
 
 impl Mail {
--- a/src/net/mail/server.rs
+++ b/src/net/mail/server.rs
@@ -9,7 +9,7 @@
 use super::{Mail, FRONT};
 use crate::api::Micros;
 use crate::core::{Answer, Req};
-use crate::net::lobby::{Bye, Heard, Reply, Talker};
+use crate::net::acceptor::{ClientProtocol, CloseReason, Parsed, Reply};
 use sha2::{Digest, Sha256};
 use smtp_proto::{Request, MAIL_BODY_BINARYMIME, MAIL_BY_RETURN};
 use std::net::{IpAddr, SocketAddr};
@@ -56,9 +56,9 @@
     End,
 }
 
-impl Talker for Clients {
-    type Talk = Talk;
-    type Ask = std::convert::Infallible;
+impl ClientProtocol for Clients {
+    type Session = Talk;
+    type Request = std::convert::Infallible;
 
     fn open(&self, from: SocketAddr, out: &mut Vec<u8>) -> Talk {
         let word = if self.protocol == Protocol::Smtp { "ESMTP" } else { "LMTP" };
@@ -66,23 +66,23 @@
         Talk { from_ip: from.ip(), hello: None, from: None, to: Vec::new(), text: None, faults: 0 }
     }
 
-    fn hear(&self, talk: &mut Talk, bytes: &[u8], out: &mut Vec<u8>) -> (usize, Heard<Self::Ask>) {
+    fn parse(&self, talk: &mut Talk, bytes: &[u8], out: &mut Vec<u8>) -> (usize, Parsed<Self::Request>) {
         Session { mail: &self.mail, protocol: self.protocol, talk }.hear(bytes, out)
     }
 
-    fn answer(&self, asks: Vec<Self::Ask>) -> Vec<Reply> {
+    fn answer(&self, asks: Vec<Self::Request>) -> Vec<Reply> {
         asks.into_iter().map(|none| match none {}).collect()
     }
 
-    fn farewell(&self, why: Bye) -> &'static str {
+    fn closing_reply(&self, why: CloseReason) -> &'static str {
         match why {
             // A text that is handed in again is recognised by sender, recipient and Message-ID.
-            Bye::Gone => "",
+            CloseReason::Gone => "",
             _ => "421 4.3.2 closing\r\n",
         }
     }
 
-    fn full(&self) -> Option<&'static str> {
+    fn refusal(&self) -> Option<&'static str> {
         Some("421 4.3.2 too many sessions, come again later\r\n")
     }
 }
@@ -94,17 +94,17 @@
 
 impl Session<'_> {
     /// Hears all that has come: commands, and the text after DATA.
-    fn hear<A>(mut self, bytes: &[u8], out: &mut Vec<u8>) -> (usize, Heard<A>) {
+    fn hear<A>(mut self, bytes: &[u8], out: &mut Vec<u8>) -> (usize, Parsed<A>) {
         let (mut used, mut said) = (0, false);
         loop {
             if let Some(text) = &mut self.talk.text {
                 let (n, ended) = text.push(&bytes[used..]);
                 used += n;
                 if !ended {
-                    return (used, Heard::More { begun: true });
+                    return (used, Parsed::Incomplete { begun: true });
                 }
                 if !self.text(out) {
-                    return (bytes.len(), Heard::Last);
+                    return (bytes.len(), Parsed::Closing);
                 }
                 said = true;
                 continue;
@@ -115,11 +115,11 @@
                 // Where its lines end can't be told, so nothing after it is taken for a command.
                 Err(BadLine::Bare) => {
                     say(out, "500 5.5.2 lines end in CR LF and nothing else");
-                    return (bytes.len(), Heard::Last);
+                    return (bytes.len(), Parsed::Closing);
                 }
                 Err(BadLine::Long) => {
                     say(out, "500 5.5.2 line too long");
-                    return (bytes.len(), Heard::Last);
+                    return (bytes.len(), Parsed::Closing);
                 }
             };
             used += line.len() + 2;
@@ -128,7 +128,7 @@
             say(out, &reply);
             self.talk.faults += u32::from(next == Next::Go && reply.starts_with('5'));
             if next == Next::End || self.talk.faults > FAULTS_MOST {
-                return (bytes.len(), Heard::Last);
+                return (bytes.len(), Parsed::Closing);
             }
             if next == Next::Text {
                 self.talk.text = Some(Text::new(self.mail.config.message_bytes));
@@ -137,11 +137,11 @@
         // The process is about to end; the client hands in the rest elsewhere or later.
         if said && self.mail.door.closing() && used == bytes.len() {
             say(out, "421 4.3.2 shutting down");
-            return (used, Heard::Last);
+            return (used, Parsed::Closing);
         }
         // Outside a transaction it may make room for another.
         let begun = self.talk.from.is_some() || used < bytes.len();
-        (used, if said && !begun { Heard::Said { fault: false } } else { Heard::More { begun } })
+        (used, if said && !begun { Parsed::Answered { fault: false } } else { Parsed::Incomplete { begun } })
     }
 
     fn command(&mut self, line: &[u8]) -> (String, Next) {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,10 +1,10 @@
 //! The sockets: std::net, threads with small stacks, buffers of one size. Two fronts share what is here: the
 //! platform's protocol and mail. Neither decides anything; they report to the core and do what it orders.
 
+pub mod acceptor;
 pub mod ask;
 pub mod conn;
 pub mod errors;
-pub mod lobby;
 pub mod mail;
 pub mod peers;
 pub mod platform;
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -11,8 +11,8 @@
 pub mod session;
 pub mod site;
 
+use super::acceptor::{AcceptorHandle, BufferLimits, ConnectionAcceptor, ExportedConnection};
 use super::conn::Conns;
-use super::lobby::{Door, HeldRoom, Lobby, SeatWords};
 use super::pool::{Pool, BUF_BYTES};
 use super::{spawn, Front};
 use crate::admission::config::Wishes;
@@ -65,7 +65,7 @@
     /// Where discovery is, and the connections to it.
     pub site: Site,
     /// Client sessions.
-    pub door: Door,
+    pub door: AcceptorHandle,
     rules: Rules,
     held_most: usize,
 }
@@ -82,7 +82,7 @@
     let free = bounds.sockets.saturating_sub(idle + slots + OTHERS).max(bounds.sockets / 3);
     let places = free.min(bounds.memory / SESSIONS_SHARE / SESSION_BYTES);
     let (watch, watch_orders) = unbounded();
-    let door = Door::new();
+    let door = AcceptorHandle::new();
     let platform = Arc::new(Platform {
         courier: courier.clone(),
         places: names.places(),
@@ -127,13 +127,14 @@
 
 /// Starts the listener.
 pub fn serve(
-    platform: &Arc<Platform>, listener: TcpListener, sessions: Vec<(OwnedFd, SeatWords)>,
+    platform: &Arc<Platform>, listener: TcpListener, sessions: Vec<(OwnedFd, ExportedConnection)>,
 ) -> io::Result<()> {
     tracing::info!(target: "platform", "platform on {}", listener.local_addr()?);
     let clients = session::Clients(platform.clone());
     let (clock, rules) = (platform.courier.clock, platform.rules.clone());
-    let room = HeldRoom { all: platform.held_most, one: BUF_BYTES };
-    let mut lobby = Lobby::new("platform", clients, listener, &platform.door, clock, rules, room)?;
-    sessions.into_iter().for_each(|(fd, words)| lobby.adopt(fd, words));
-    spawn("lobby", move || lobby.run()).map(|_| ())
+    let room = BufferLimits { total: platform.held_most, per_connection: BUF_BYTES };
+    let mut acceptor =
+        ConnectionAcceptor::new("platform", clients, listener, &platform.door, clock, rules, room)?;
+    sessions.into_iter().for_each(|(fd, words)| acceptor.import_connection(fd, words));
+    spawn("lobby", move || acceptor.run()).map(|_| ())
 }
--- a/src/net/platform/session.rs
+++ b/src/net/platform/session.rs
@@ -1,11 +1,11 @@
-//! Client sessions: one request at a time, heard by the lobby. Every request that was read whole gets its answer at once:
-//! taken, a synthetic answer, or a clear failure.
+//! Client sessions: one request at a time, read by the connection acceptor. Every request that was read whole gets its
+//! answer at once: taken, a synthetic answer, or a clear failure.
 
 use super::http::{self, Bad, RequestHead};
 use super::{Platform, FRONT};
 use crate::api::Micros;
 use crate::core::{Answer, Req};
-use crate::net::lobby::{Bye, Heard, Reply, Talker};
+use crate::net::acceptor::{ClientProtocol, CloseReason, Parsed, Reply};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 const FAULT_DOUBLES: u32 = 5;
 /// Danger: a client counts its deadline from when it sent the request, and an end is overdue 300 ms after that. The first
 /// request of a connection may have waited for as long as its client waits for the answer, 400 ms, before the connection
-/// was let in; a later one is read as soon as the lobby wakes. So this much is taken off the deadline.
+/// was let in; a later one is read as soon as the acceptor wakes. So this much is taken off the deadline.
 const SKEW_FIRST: Micros = Micros(400_000);
 const SKEW: Micros = Micros(100_000);
 /// The longest id, key and deadline that are taken.
@@ -41,22 +41,22 @@
     last: bool,
 }
 
-impl Talker for Clients {
-    type Talk = Talk;
-    type Ask = Ask;
+impl ClientProtocol for Clients {
+    type Session = Talk;
+    type Request = Ask;
 
     fn open(&self, _from: SocketAddr, _out: &mut Vec<u8>) -> Talk {
         Talk { skew: SKEW_FIRST, faults: 0, continued: false }
     }
 
-    fn hear(&self, talk: &mut Talk, bytes: &[u8], out: &mut Vec<u8>) -> (usize, Heard<Ask>) {
+    fn parse(&self, talk: &mut Talk, bytes: &[u8], out: &mut Vec<u8>) -> (usize, Parsed<Ask>) {
         let platform = &*self.0;
         let head = match http::request(bytes) {
             Err(bad) => {
                 out.extend(turn_away(bad).as_bytes());
-                return (bytes.len(), Heard::Last);
+                return (bytes.len(), Parsed::Closing);
             }
-            Ok(None) => return (0, Heard::More { begun: !bytes.is_empty() }),
+            Ok(None) => return (0, Parsed::Incomplete { begun: !bytes.is_empty() }),
             Ok(Some(head)) => head,
         };
         let end = head.head + head.body;
@@ -65,7 +65,7 @@
                 talk.continued = true;
                 out.extend(b"HTTP/1.1 100 Continue\r\n\r\n");
             }
-            return (0, Heard::More { begun: true });
+            return (0, Parsed::Incomplete { begun: true });
         }
         talk.continued = false;
         // Danger: what is read behind this request and not answered is lost; so only the last that was read is told to be it.
@@ -73,12 +73,12 @@
         let last = head.close || ends && bytes.len() == end;
         let heard =
             match request(platform, &head, &bytes[head.head..end], std::mem::replace(&mut talk.skew, SKEW)) {
-                Ok(req) => Heard::Ask(Ask { req, last }),
+                Ok(req) => Parsed::Request(Ask { req, last }),
                 Err(say) => {
                     out.extend(say.text(last).as_bytes());
                     match last {
-                        true => Heard::Last,
-                        false => Heard::Said { fault: say.fault },
+                        true => Parsed::Closing,
+                        false => Parsed::Answered { fault: say.fault },
                     }
                 }
             };
@@ -91,38 +91,38 @@
         answers.into_iter().zip(lasts).map(|(answer, last)| self.reply(answer, last)).collect()
     }
 
-    fn written(&self, receipts: &[(u64, bool)]) {
+    fn replies_written(&self, receipts: &[(u64, bool)]) {
         self.0.courier.answered(receipts);
     }
 
-    fn pause(&self, talk: &mut Talk) -> Micros {
+    fn fault_pause(&self, talk: &mut Talk) -> Micros {
         talk.faults += 1;
         FAULT.scale(f64::from(1 << talk.faults.min(FAULT_DOUBLES)))
     }
 
-    fn pack(&self, talk: &Talk) -> Vec<u8> {
+    fn export_session(&self, talk: &Talk) -> Vec<u8> {
         // Plain numbers can't fail to be written.
         serde_json::to_vec(talk).unwrap_or_default()
     }
 
-    fn unpack(&self, from: SocketAddr, words: &[u8]) -> Talk {
+    fn import_session(&self, from: SocketAddr, words: &[u8]) -> Talk {
         serde_json::from_slice(words).unwrap_or_else(|_| self.open(from, &mut Vec::new()))
     }
 
-    fn farewell(&self, why: Bye) -> &'static str {
+    fn closing_reply(&self, why: CloseReason) -> &'static str {
         match why {
-            Bye::Half => "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
-            Bye::Full | Bye::Gone => {
+            CloseReason::Half => "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
+            CloseReason::Full | CloseReason::Gone => {
                 "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
             }
             // Danger: what is said on an idle connection would be read as the answer to a request that crosses it.
-            Bye::Idle => "",
+            CloseReason::Idle => "",
         }
     }
 
     /// Danger: a refusal that is sent across a newcomer's request is lost with the connection's reset; so it waits for a
     /// place, which the admission bounds.
-    fn full(&self) -> Option<&'static str> {
+    fn refusal(&self) -> Option<&'static str> {
         None
     }
 }
@@ -151,7 +151,7 @@
             Answer::NoSuchDest => Say::fault("404 Not Found", "X-Addressing: no such destination\n"),
             Answer::MayBegin(_) | Answer::Acknowledged => Say::of("500 Internal Server Error"),
         };
-        Reply { text: say.text(last), last, fault: say.fault, receipt }
+        Reply { text: say.text(last), close: last, fault: say.fault, accepted_message: receipt }
     }
 }
 
--- a/src/net/platform/site.rs
+++ b/src/net/platform/site.rs
@@ -2,7 +2,7 @@
 //! that is left go with it.
 
 use crate::api::Micros;
-use crate::net::lobby::Door;
+use crate::net::acceptor::AcceptorHandle;
 use crate::register::address_rotation::AddressRotation;
 use crossbeam_channel::Sender;
 use std::io;
@@ -16,7 +16,7 @@
     /// A wish to watch the list.
     watch: Sender<()>,
     /// Through which it connects.
-    door: Door,
+    door: AcceptorHandle,
 }
 
 struct At {
@@ -37,7 +37,7 @@
 
 impl Site {
     /// At the first of its addresses, until it moves or fails; a move asks for a watch.
-    pub fn new(seek: AddressRotation, watch: Sender<()>, door: Door) -> Site {
+    pub fn new(seek: AddressRotation, watch: Sender<()>, door: AcceptorHandle) -> Site {
         Site { at: Mutex::new(At { seek, open: Vec::new() }), watch, door }
     }
 
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -2,8 +2,8 @@
 //! with a frame's head. Whatever comes is bounded, and what can't be read is an error in words.
 
 use crate::core::handover::{CompletedCall, HandoverState};
+use crate::net::acceptor::ExportedConnection;
 use crate::net::conn;
-use crate::net::lobby::SeatWords;
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -36,7 +36,7 @@
     /// What the core passes; the listener is with it.
     Core(Box<HandoverState>),
     /// Sessions, each with its descriptor.
-    Seats(Vec<SeatWords>),
+    Seats(Vec<ExportedConnection>),
     /// That was all.
     Whole,
     /// All of it is here.
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -9,7 +9,7 @@
 use crate::api::Micros;
 use crate::core::handover::HandoverState;
 use crate::core::{Clock, Courier};
-use crate::net::lobby::{Door, SeatWords};
+use crate::net::acceptor::{AcceptorHandle, ExportedConnection};
 use crate::net::spawn;
 use crate::store::owner::{self, Owner, Refusal};
 use crossbeam_channel::{bounded, unbounded, Receiver};
@@ -27,8 +27,8 @@
 
 /// The socket's name in the folder that lasts.
 const SOCKET: &str = "upgrade.sock";
-/// The old process waits so long for its lobby's quiet moment, and for the new one to have everything. Danger: clients wait
-/// 400 ms for an answer; a new process that hangs must not cost them more than it has to.
+/// The old process waits so long for its connection acceptor to be between two rounds, and for the new one to have
+/// everything. Danger: clients wait 400 ms for an answer; a new process that hangs must not cost them more than it has to.
 const SETTLE: Micros = Micros(500_000);
 const READY: Micros = Micros(700_000);
 /// The new process asks for so long, and waits so long for each word.
@@ -57,7 +57,7 @@
     /// The core.
     pub courier: Arc<Courier>,
     /// The front's sessions.
-    pub door: Door,
+    pub door: AcceptorHandle,
     /// Whether this process takes clients.
     pub serving: Arc<AtomicBool>,
     /// Whether the other process has heard how all calls ended that were out when this one left. Danger: this process must not
@@ -127,10 +127,10 @@
         let stream = Arc::new(stream);
         let (said, word) = bounded(1);
         let ours = stream.clone();
-        // Danger: told to stop waiting, a lobby that gets there late must not pass anything.
+        // Danger: told to stop waiting, an acceptor that gets there late must not hand anything over.
         let late = Arc::new(AtomicBool::new(false));
         let too_late = late.clone();
-        let pass = move |listener: BorrowedFd, seats: &[(BorrowedFd, SeatWords)]| {
+        let pass = move |listener: BorrowedFd, seats: &[(BorrowedFd, ExportedConnection)]| {
             if too_late.swap(true, Ordering::SeqCst) {
                 return false;
             }
@@ -144,7 +144,8 @@
                 return said.send((state, None)).is_err();
             }
             let mut passed = courier.freeze();
-            passed.answering = seats.iter().flat_map(|(_, words)| words.receipts.iter().copied()).collect();
+            passed.answering =
+                seats.iter().flat_map(|(_, words)| words.unconfirmed_messages.iter().copied()).collect();
             state.hear(Heard::Settled(true));
             let until = courier.clock.instant(courier.clock.now() + READY);
             let heard = match pass_all(&ours, passed, listener, seats, until) {
@@ -165,7 +166,7 @@
             drop(said.send((state, Some(ends))));
             true
         };
-        let parked = self.door.pass(Box::new(pass));
+        let parked = self.door.hand_over(Box::new(pass));
         let (state, ends) = match parked.map(|()| word.recv_timeout(Duration::from_micros(SETTLE.0))) {
             Ok(Ok(done)) => done,
             _ if !late.swap(true, Ordering::SeqCst) => {
@@ -200,12 +201,12 @@
 
 /// Sends all, and hears the other's word for it.
 fn pass_all(
-    stream: &UnixStream, passed: HandoverState, listener: BorrowedFd, seats: &[(BorrowedFd, SeatWords)],
-    until: Instant,
+    stream: &UnixStream, passed: HandoverState, listener: BorrowedFd,
+    seats: &[(BorrowedFd, ExportedConnection)], until: Instant,
 ) -> io::Result<Frame> {
     send(stream, &Frame::Core(Box::new(passed)), &[listener], until)?;
     for some in seats.chunks(FDS_MOST) {
-        let (fds, words): (Vec<BorrowedFd>, Vec<SeatWords>) = some.iter().cloned().unzip();
+        let (fds, words): (Vec<BorrowedFd>, Vec<ExportedConnection>) = some.iter().cloned().unzip();
         send(stream, &Frame::Seats(words), &fds, until)?;
     }
     send(stream, &Frame::Whole, &[], until)?;
@@ -231,7 +232,7 @@
     /// The listener, and the sessions.
     pub listener: Option<TcpListener>,
     /// See there.
-    pub sessions: Vec<(OwnedFd, SeatWords)>,
+    pub sessions: Vec<(OwnedFd, ExportedConnection)>,
     /// Where the ends of calls come from that are still out.
     pub ends: UnixStream,
 }
--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -4,7 +4,9 @@
 
 use indigohold::admission::config::AdmissionConfig;
 use indigohold::clock::Clock;
-use indigohold::net::lobby::{Bye, Door, Heard, HeldRoom, Lobby, Reply, Talker};
+use indigohold::net::acceptor::{
+    AcceptorHandle, BufferLimits, ClientProtocol, CloseReason, ConnectionAcceptor, Parsed, Reply,
+};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -21,33 +23,33 @@
     go_on: Mutex<Receiver<()>>,
 }
 
-impl Talker for Lines {
-    type Talk = ();
-    type Ask = String;
+impl ClientProtocol for Lines {
+    type Session = ();
+    type Request = String;
 
     fn open(&self, _from: SocketAddr, _out: &mut Vec<u8>) {}
 
-    fn hear(&self, _talk: &mut (), bytes: &[u8], _out: &mut Vec<u8>) -> (usize, Heard<String>) {
+    fn parse(&self, _talk: &mut (), bytes: &[u8], _out: &mut Vec<u8>) -> (usize, Parsed<String>) {
         let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-            return (0, Heard::More { begun: !bytes.is_empty() });
+            return (0, Parsed::Incomplete { begun: !bytes.is_empty() });
         };
         let line = String::from_utf8(bytes[..=end].to_vec()).unwrap();
         self.heard.lock().unwrap().push(line.clone());
-        (end + 1, Heard::Ask(line))
+        (end + 1, Parsed::Request(line))
     }
 
     fn answer(&self, asks: Vec<String>) -> Vec<Reply> {
         self.answering.send(()).unwrap();
         self.go_on.lock().unwrap().recv().unwrap();
-        let reply = |text| Reply { text, last: false, fault: false, receipt: None };
+        let reply = |text| Reply { text, close: false, fault: false, accepted_message: None };
         asks.into_iter().map(reply).collect()
     }
 
-    fn farewell(&self, _why: Bye) -> &'static str {
+    fn closing_reply(&self, _why: CloseReason) -> &'static str {
         ""
     }
 
-    fn full(&self) -> Option<&'static str> {
+    fn refusal(&self) -> Option<&'static str> {
         None
     }
 }
@@ -58,17 +60,18 @@
 fn what_was_read_is_answered_before_the_end_and_what_comes_then_is_not_read() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    let (heard, door) = (Arc::new(Mutex::new(Vec::new())), Door::new());
+    let (heard, door) = (Arc::new(Mutex::new(Vec::new())), AcceptorHandle::new());
     let (answering, at_answer) = channel();
     let (release, go_on) = channel();
     let front = Lines { heard: heard.clone(), answering, go_on: Mutex::new(go_on) };
     let rules = AdmissionConfig::default().platform.rules(16);
-    let room = HeldRoom { all: 1 << 16, one: 1 << 12 };
-    let lobby = Lobby::new("lines", front, listener, &door, Clock::start(), rules, room).unwrap();
-    thread::spawn(move || lobby.run());
+    let room = BufferLimits { total: 1 << 16, per_connection: 1 << 12 };
+    let acceptor =
+        ConnectionAcceptor::new("lines", front, listener, &door, Clock::start(), rules, room).unwrap();
+    thread::spawn(move || acceptor.run());
     let mut resting = TcpStream::connect(addr).unwrap();
     let mut busy = TcpStream::connect(addr).unwrap();
-    until("both are there", || door.count() == 2);
+    until("both are there", || door.connection_count() == 2);
     busy.write_all(b"first\nsecond\n").unwrap();
     at_answer.recv().unwrap();
     let ends = {
