--- a/src/admin/door.rs
+++ b/src/admin/door.rs
@@ -126,9 +126,9 @@
             match self.listener.accept() {
                 Ok((stream, _)) => self.come(now, stream),
                 Err(e) => match accept_fault(&e) {
-                    AcceptFault::Nobody => self.knock = None,
-                    AcceptFault::Next => {}
-                    AcceptFault::Later => self.knock = Some(now + NO_DESCRIPTOR),
+                    AcceptFault::QueueEmpty => self.knock = None,
+                    AcceptFault::ConnectionLost => {}
+                    AcceptFault::Local => self.knock = Some(now + NO_DESCRIPTOR),
                     AcceptFault::NoDescriptor => {
                         self.make_room();
                         self.knock = Some(now + NO_DESCRIPTOR);
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -13,7 +13,7 @@
 use crate::net::errors::{accept_fault, AcceptFault};
 use crate::net::peers::published::Published;
 use crate::net::platform::http;
-use crate::net::pool::{Pool, BODY_MOST, HEAD_MOST};
+use crate::net::pool::{BufferPool, MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use crate::net::{conn, platform, spawn};
 use serde::Serialize;
 use std::fs;
@@ -36,7 +36,7 @@
     doors: Vec<AcceptorHandle>,
     fleet: Option<Asker>,
     shared: Option<Arc<Published>>,
-    pool: Pool,
+    pool: BufferPool,
     started: Micros,
     open: AtomicUsize,
     most: usize,
@@ -87,7 +87,7 @@
         doors,
         fleet,
         shared,
-        pool: Pool::new(2),
+        pool: BufferPool::new(2),
         started: courier.clock.now(),
         open: AtomicUsize::new(0),
         most: config.sessions,
@@ -95,7 +95,7 @@
     spawn("control", move || loop {
         let stream = match listener.accept() {
             Ok((stream, _)) => stream,
-            Err(e) if accept_fault(&e) == AcceptFault::Next => continue,
+            Err(e) if accept_fault(&e) == AcceptFault::ConnectionLost => continue,
             Err(_) => {
                 std::thread::sleep(ACCEPT_AGAIN);
                 continue;
@@ -141,8 +141,8 @@
                         return self.say(stream, number, "application/problem+json", &problem, true);
                     }
                     Ok(Some(head)) if filled >= head.head + head.body => break head,
-                    Ok(Some(head)) => (head.head + head.body).min(HEAD_MOST + BODY_MOST),
-                    Ok(None) => HEAD_MOST,
+                    Ok(Some(head)) => (head.head + head.body).min(MAX_HEAD_BYTES + MAX_BODY_BYTES),
+                    Ok(None) => MAX_HEAD_BYTES,
                 };
                 match conn::read(stream, &mut buf[filled..room], until)? {
                     0 => return Ok(()),
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -335,7 +335,7 @@
             }
             // Danger: a fetch cut off here may have run, and costs its message an answer or a repeat.
             let open: usize = doors.iter().map(|d| d.connection_count()).sum();
-            let out: usize = conns.iter().map(|c| c.out()).sum();
+            let out: usize = conns.iter().map(|c| c.fetch_count()).sum();
             let idle = open + out == 0;
             let told = left_at.is_none() || told.load(Ordering::SeqCst);
             if since >= EXIT || (since >= CLOSE || left_at.is_some()) && idle && told {
@@ -356,14 +356,14 @@
                 peers.iter().for_each(|peers| peers.close());
             }
             if let Some(at) = left_at {
-                let out: usize = conns.iter().map(|c| c.out()).sum();
+                let out: usize = conns.iter().map(|c| c.fetch_count()).sum();
                 if now - at >= LINGER && out == 0 && told.load(Ordering::SeqCst) {
                     tracing::info!(target: "daemon", "ends; another process has taken over");
                     return Ok(());
                 }
                 continue;
             }
-            conns.iter().for_each(|c| c.sweep());
+            conns.iter().for_each(|c| c.close_expired());
             // After an error the next round does it.
             let _ = anchor.write();
             if let Some(keeper) = &mut keeper {
--- a/src/net/acceptor/accepting.rs
+++ b/src/net/acceptor/accepting.rs
@@ -93,10 +93,10 @@
 
     fn accept_failed(&mut self, now: Micros, e: &io::Error) {
         match accept_fault(e) {
-            AcceptFault::Nobody => self.accept_ready = false,
-            AcceptFault::Next => {}
+            AcceptFault::QueueEmpty => self.accept_ready = false,
+            AcceptFault::ConnectionLost => {}
             // Closing connections would not help: the machine lacks a resource that they do not hold.
-            AcceptFault::Later => self.accept_paused_until = Some(now + NO_DESCRIPTOR_DELAY),
+            AcceptFault::Local => self.accept_paused_until = Some(now + NO_DESCRIPTOR_DELAY),
             AcceptFault::NoDescriptor => {
                 // With no free descriptor the new connection can't even be refused, and its readiness event would keep the
                 // thread busy. So the number of places is reduced for a while, and an idle connection is closed. Only if
@@ -117,7 +117,7 @@
         match self.listener.accept() {
             // The connection is new, so this short reply fits into its send buffer. An error means that the client is gone.
             Ok((mut stream, _)) => drop(stream.write(reply.as_bytes())),
-            Err(e) if accept_fault(&e) == AcceptFault::Nobody => self.accept_ready = false,
+            Err(e) if accept_fault(&e) == AcceptFault::QueueEmpty => self.accept_ready = false,
             Err(_) => {}
         }
     }
--- a/src/net/acceptor/handle.rs
+++ b/src/net/acceptor/handle.rs
@@ -151,7 +151,10 @@
     pub fn connect(&self, addr: SocketAddr, until: Instant) -> io::Result<std::net::TcpStream> {
         loop {
             match conn::connect(addr, until) {
-                Err(e) if errors::no_descriptor(&e) && Instant::now() + NO_DESCRIPTOR_RETRY_DELAY < until => {
+                Err(e)
+                    if errors::is_out_of_descriptors(&e)
+                        && Instant::now() + NO_DESCRIPTOR_RETRY_DELAY < until =>
+                {
                     self.descriptors_wanted.fetch_add(1, Ordering::SeqCst);
                     // An error means that the acceptor no longer exists.
                     self.acceptors().iter().for_each(|entry| drop(entry.waker.wake()));
--- a/src/net/acceptor/reading.rs
+++ b/src/net/acceptor/reading.rs
@@ -46,7 +46,7 @@
             let mut has_news = std::mem::take(&mut connection.may_parse) && filled > 0;
             while connection.readable && filled < capacity {
                 match receive(&mut connection.stream, &mut self.read_buffer[filled..]) {
-                    Received::Ended => (connection.end_of_input, connection.readable) = (true, false),
+                    Received::EndOfStream => (connection.end_of_input, connection.readable) = (true, false),
                     Received::Bytes(n) => {
                         filled += n;
                         has_news = true;
@@ -54,12 +54,12 @@
                         // further event announces it, so the socket is read once more to find it.
                         connection.readable = connection.hung_up || filled == capacity;
                     }
-                    Received::Nothing => connection.readable = false,
-                    Received::Later => {
+                    Received::WouldBlock => connection.readable = false,
+                    Received::LocalFault => {
                         connection.readable = false;
                         self.stalled.push(key);
                     }
-                    Received::Broke => {
+                    Received::Broken => {
                         self.close(key);
                         return None;
                     }
@@ -171,8 +171,8 @@
         let mut sink = [0; 8 * 1024];
         loop {
             match receive(&mut connection.stream, &mut sink) {
-                Received::Nothing => return,
-                Received::Later => return self.stalled.push(key),
+                Received::WouldBlock => return,
+                Received::LocalFault => return self.stalled.push(key),
                 Received::Bytes(n) if connection.discard_left.is_some_and(|left| left > n) => {
                     connection.discard_left = connection.discard_left.map(|left| left - n);
                 }
--- a/src/net/acceptor/responding.rs
+++ b/src/net/acceptor/responding.rs
@@ -49,9 +49,9 @@
         let (written, sent) = send(&mut connection.stream, &connection.unsent);
         connection.unsent.drain(..written);
         match sent {
-            Sent::Broke => return self.close(key),
-            Sent::Later => self.stalled.push(key),
-            Sent::Full | Sent::All => {}
+            Sent::Broken => return self.close(key),
+            Sent::LocalFault => self.stalled.push(key),
+            Sent::WouldBlock | Sent::All => {}
         }
         if sent != Sent::All {
             if !was_waiting {
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -1,5 +1,5 @@
-//! Connections with absolute deadlines, and the fetches' connections: those out, which can be called off, and
-//! those idle, which can be used again.
+//! Reads and writes with absolute deadlines, and the connections of one frontend's fetches: those in use, which can be
+//! cancelled, and idle ones, which can be reused.
 
 use super::errors::{fault_of, Fault};
 use crate::core::Backend;
@@ -14,13 +14,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long, and how often, something is waited for that this machine lacks.
-const LOCAL_PATIENCE: Duration = Duration::from_millis(100);
-const LOCAL_PAUSE: Duration = Duration::from_millis(2);
-const LOCAL_TRIES: u32 = 50;
+/// How long connecting is retried after faults of this machine ([`Fault::Local`]).
+const LOCAL_FAULT_CONNECT_TIME: Duration = Duration::from_millis(100);
+/// Delay before a call is repeated after such a fault.
+const LOCAL_FAULT_RETRY_DELAY: Duration = Duration::from_millis(2);
+/// How often a read or write is repeated after such faults.
+const MAX_LOCAL_FAULT_RETRIES: u32 = 50;
 
-/// What is left until a deadline; an error once it is past.
-fn left(until: Instant) -> io::Result<Duration> {
+/// The time left until a deadline; an error once it has passed.
+fn time_left(until: Instant) -> io::Result<Duration> {
     let left = until.saturating_duration_since(Instant::now());
     if left.is_zero() {
         return Err(ErrorKind::TimedOut.into());
@@ -28,26 +30,26 @@
     Ok(left.max(Duration::from_millis(1)))
 }
 
-/// A connection of either kind: TCP, or a socket of this machine.
-pub trait Wire {
-    /// As [`TcpStream::set_read_timeout`].
-    fn set_read_timeout(&self, span: Option<Duration>) -> io::Result<()>;
-    /// As [`TcpStream::set_write_timeout`].
-    fn set_write_timeout(&self, span: Option<Duration>) -> io::Result<()>;
-    /// As [`Read::read`].
+/// A stream socket, TCP or Unix.
+pub trait SocketStream {
+    /// See [`TcpStream::set_read_timeout`].
+    fn set_read_timeout(&self, timeout: Option<Duration>) -> io::Result<()>;
+    /// See [`TcpStream::set_write_timeout`].
+    fn set_write_timeout(&self, timeout: Option<Duration>) -> io::Result<()>;
+    /// See [`Read::read`].
     fn recv(&self, into: &mut [u8]) -> io::Result<usize>;
-    /// As [`Write::write`].
+    /// See [`Write::write`].
     fn send(&self, bytes: &[u8]) -> io::Result<usize>;
 }
 
-macro_rules! wires {
+macro_rules! impl_socket_stream {
     ($($kind:ty),*) => {$(
-        impl Wire for $kind {
-            fn set_read_timeout(&self, span: Option<Duration>) -> io::Result<()> {
-                <$kind>::set_read_timeout(self, span)
+        impl SocketStream for $kind {
+            fn set_read_timeout(&self, timeout: Option<Duration>) -> io::Result<()> {
+                <$kind>::set_read_timeout(self, timeout)
             }
-            fn set_write_timeout(&self, span: Option<Duration>) -> io::Result<()> {
-                <$kind>::set_write_timeout(self, span)
+            fn set_write_timeout(&self, timeout: Option<Duration>) -> io::Result<()> {
+                <$kind>::set_write_timeout(self, timeout)
             }
             fn recv(&self, into: &mut [u8]) -> io::Result<usize> {
                 let mut stream = self;
@@ -61,14 +63,14 @@
     )*};
 }
 
-wires!(TcpStream, UnixStream);
+impl_socket_stream!(TcpStream, UnixStream);
 
-impl<W: Wire> Wire for Arc<W> {
-    fn set_read_timeout(&self, span: Option<Duration>) -> io::Result<()> {
-        (**self).set_read_timeout(span)
+impl<S: SocketStream> SocketStream for Arc<S> {
+    fn set_read_timeout(&self, timeout: Option<Duration>) -> io::Result<()> {
+        (**self).set_read_timeout(timeout)
     }
-    fn set_write_timeout(&self, span: Option<Duration>) -> io::Result<()> {
-        (**self).set_write_timeout(span)
+    fn set_write_timeout(&self, timeout: Option<Duration>) -> io::Result<()> {
+        (**self).set_write_timeout(timeout)
     }
     fn recv(&self, into: &mut [u8]) -> io::Result<usize> {
         (**self).recv(into)
@@ -80,76 +82,78 @@
 
 /// Connects before the deadline.
 pub fn connect(addr: SocketAddr, until: Instant) -> io::Result<TcpStream> {
-    let stream = connect_by(until, |left| TcpStream::connect_timeout(&addr, left))?;
-    // Without it small writes may wait in the system; that is no reason to do without the connection.
+    let stream = connect_with(until, |left| TcpStream::connect_timeout(&addr, left))?;
+    // Without it the kernel may delay small writes; that is no reason to give up the connection.
     let _ = stream.set_nodelay(true);
     Ok(stream)
 }
 
-/// Connects by `dial`, which is given the time that is left. What this machine lacks for a moment is waited for, but for a
-/// descriptor: whoever has one to spare must give it.
-pub fn connect_by<T>(until: Instant, mut dial: impl FnMut(Duration) -> io::Result<T>) -> io::Result<T> {
-    let patience = until.min(Instant::now() + LOCAL_PATIENCE);
+/// Connects by `dial`, which is given the time that is left. Faults of this machine are retried for a moment, but not a lack of
+/// descriptors: that one ends only when some other connection is closed, which is up to the caller.
+pub fn connect_with<T>(until: Instant, mut dial: impl FnMut(Duration) -> io::Result<T>) -> io::Result<T> {
+    let retry_until = until.min(Instant::now() + LOCAL_FAULT_CONNECT_TIME);
     loop {
-        match dial(left(until)?) {
+        match dial(time_left(until)?) {
             Err(e)
-                if matches!(fault_of(&e), Fault::Interrupted | Fault::Local) && Instant::now() < patience =>
+                if matches!(fault_of(&e), Fault::Interrupted | Fault::Local)
+                    && Instant::now() < retry_until =>
             {
-                thread::sleep(LOCAL_PAUSE);
+                thread::sleep(LOCAL_FAULT_RETRY_DELAY);
             }
             other => return other,
         }
     }
 }
 
-/// Makes a call again that was interrupted, or that this machine lacked something for; the latter not for ever.
-fn until_clear<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let mut patience = LOCAL_TRIES;
+/// Repeats a call that was interrupted, without limit, and one that failed by a fault of this machine, for a limited number of
+/// times.
+fn retry_local_faults<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+    let mut retries_left = MAX_LOCAL_FAULT_RETRIES;
     loop {
         match call() {
             Err(e) if fault_of(&e) == Fault::Interrupted => {}
-            Err(e) if fault_of(&e) == Fault::Local && patience > 0 => {
-                patience -= 1;
-                thread::sleep(LOCAL_PAUSE);
+            Err(e) if fault_of(&e) == Fault::Local && retries_left > 0 => {
+                retries_left -= 1;
+                thread::sleep(LOCAL_FAULT_RETRY_DELAY);
             }
             other => return other,
         }
     }
 }
 
-/// Reads some bytes before the deadline; 0 at the end.
-pub fn read<W: Wire>(stream: &W, into: &mut [u8], until: Instant) -> io::Result<usize> {
-    until_clear(|| {
-        stream.set_read_timeout(Some(left(until)?))?;
+/// Reads some bytes before the deadline. Returns 0 at the end of the stream.
+pub fn read<S: SocketStream>(stream: &S, into: &mut [u8], until: Instant) -> io::Result<usize> {
+    retry_local_faults(|| {
+        stream.set_read_timeout(Some(time_left(until)?))?;
         stream.recv(into)
     })
 }
 
-/// Looks at some bytes before the deadline and leaves them there; 0 at the end. What is there counts, however late the look:
-/// danger, a process that is stopped past the deadline wakes up by an interrupted call, and what came in time would be taken
-/// for nothing.
+/// Reads some bytes before the deadline and leaves them in the socket. Returns 0 at the end of the stream. Input that is already
+/// there is returned even after the deadline: a process that was stopped past the deadline resumes with an interrupted call, and
+/// input that had arrived in time would otherwise be missed.
 pub fn peek(stream: &TcpStream, into: &mut [u8], until: Instant) -> io::Result<usize> {
-    until_clear(|| {
-        let Ok(left) = left(until) else {
-            let (_, n) = rustix::net::recv(stream, &mut *into, RecvFlags::PEEK | RecvFlags::DONTWAIT)?;
-            return Ok(n);
+    retry_local_faults(|| {
+        let Ok(left) = time_left(until) else {
+            let (_, count) = rustix::net::recv(stream, &mut *into, RecvFlags::PEEK | RecvFlags::DONTWAIT)?;
+            return Ok(count);
         };
         stream.set_read_timeout(Some(left))?;
         stream.peek(into)
     })
 }
 
-/// What lies there, without waiting and without taking it out.
+/// Copies input that has arrived, without waiting and without consuming it. Returns the number of bytes; 0 also for an error.
 pub fn peek_now(stream: &TcpStream, into: &mut [u8]) -> usize {
-    let look = || Ok(rustix::net::recv(stream, &mut *into, RecvFlags::PEEK | RecvFlags::DONTWAIT)?);
-    until_clear(look).map_or(0, |(_, n)| n)
+    let peek = || Ok(rustix::net::recv(stream, &mut *into, RecvFlags::PEEK | RecvFlags::DONTWAIT)?);
+    retry_local_faults(peek).map_or(0, |(_, count)| count)
 }
 
 /// Writes all bytes before the deadline.
-pub fn write_all<W: Wire>(stream: &W, mut bytes: &[u8], until: Instant) -> io::Result<()> {
+pub fn write_all<S: SocketStream>(stream: &S, mut bytes: &[u8], until: Instant) -> io::Result<()> {
     while !bytes.is_empty() {
-        let sent = until_clear(|| {
-            stream.set_write_timeout(Some(left(until)?))?;
+        let sent = retry_local_faults(|| {
+            stream.set_write_timeout(Some(time_left(until)?))?;
             stream.send(bytes)
         })?;
         if sent == 0 {
@@ -164,85 +168,92 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-struct Idle {
+struct IdleConnection {
     stream: Arc<TcpStream>,
-    /// What its front knows of it.
+    /// A value that the frontend stores with the connection.
     tag: u32,
     since: Instant,
 }
 
-enum Out {
+enum FetchState {
     /// Ordered, without a connection yet.
-    Waiting,
-    /// Its connection, how many fetches share it, and its destination once the last byte of its request is written: from
-    /// then on an answer may lie there.
-    Open(Arc<TcpStream>, Arc<AtomicUsize>, Option<u16>),
-    CalledOff,
+    Ordered,
+    /// The connection, how many fetches share it, and the destination once the last byte of the request is written: from then on
+    /// a response may have arrived.
+    Connected(Arc<TcpStream>, Arc<AtomicUsize>, Option<u16>),
+    Cancelled,
 }
 
-/// The connections of one front's fetches.
-pub struct Conns {
-    /// What is said on an idle connection before it is closed.
-    farewell: &'static [u8],
-    keep: Duration,
-    most_idle: usize,
-    /// By backend, not by address alone. Danger: a new backend may listen where one that has gone did, and a
-    /// connection to that one leads nowhere or to the wrong one.
-    idle: Mutex<HashMap<Arc<Backend>, Vec<Idle>>>,
-    out: Mutex<HashMap<(u64, u8), Out>>,
+/// The connections of one frontend's fetches.
+pub struct FetchConnections {
+    /// Sent on an idle connection before it is closed.
+    closing_command: &'static [u8],
+    idle_timeout: Duration,
+    max_idle: usize,
+    /// By backend, not by address alone: a new backend may listen at the address of one that is gone, and a connection to the
+    /// old one is dead or leads to the wrong backend.
+    idle: Mutex<HashMap<Arc<Backend>, Vec<IdleConnection>>>,
+    fetches: Mutex<HashMap<(u64, u8), FetchState>>,
 }
 
-impl Conns {
-    /// Idle connections are kept for so long and no more than so many; each is closed with a farewell.
-    pub fn new(keep: Duration, most_idle: usize, farewell: &'static [u8]) -> Conns {
-        Conns { farewell, keep, most_idle, idle: Mutex::default(), out: Mutex::default() }
+impl FetchConnections {
+    /// Keeps at most `max_idle` idle connections, each for `idle_timeout`, and sends `closing_command` before it closes one.
+    pub fn new(idle_timeout: Duration, max_idle: usize, closing_command: &'static [u8]) -> FetchConnections {
+        FetchConnections {
+            closing_command,
+            idle_timeout,
+            max_idle,
+            idle: Mutex::default(),
+            fetches: Mutex::default(),
+        }
     }
 
-    /// A fetch is ordered; from now on it can be called off.
-    pub fn ordered(&self, msg: u64, attempt: u8) {
-        lock(&self.out).insert((msg, attempt), Out::Waiting);
+    /// A fetch is ordered; from now on it can be cancelled.
+    pub fn fetch_ordered(&self, msg: u64, attempt: u8) {
+        lock(&self.fetches).insert((msg, attempt), FetchState::Ordered);
     }
 
-    /// The fetch has a connection; `false` if it was called off meanwhile.
-    pub fn opened(&self, msg: u64, attempt: u8, stream: &Arc<TcpStream>) -> bool {
-        self.opened_together(&[(msg, attempt)], stream) == [true]
+    /// The fetch has a connection. Returns `false` if it was cancelled meanwhile.
+    pub fn fetch_connected(&self, msg: u64, attempt: u8, stream: &Arc<TcpStream>) -> bool {
+        self.fetches_connected(&[(msg, attempt)], stream) == [true]
     }
 
-    /// The same for fetches that share a call; which of them were not called off meanwhile.
-    pub fn opened_together(&self, fetches: &[(u64, u8)], stream: &Arc<TcpStream>) -> Vec<bool> {
-        let riders = Arc::new(AtomicUsize::new(0));
-        let mut all = lock(&self.out);
-        let mut open = |fetch: &(u64, u8)| match all.get_mut(fetch) {
-            Some(Out::CalledOff) | None => false,
-            Some(out) => {
-                riders.fetch_add(1, Ordering::SeqCst);
-                *out = Out::Open(stream.clone(), riders.clone(), None);
+    /// The fetches of a shared call have a connection. Returns for each whether it was not cancelled meanwhile.
+    pub fn fetches_connected(&self, fetches: &[(u64, u8)], stream: &Arc<TcpStream>) -> Vec<bool> {
+        let sharing = Arc::new(AtomicUsize::new(0));
+        let mut all = lock(&self.fetches);
+        let mut connect = |fetch: &(u64, u8)| match all.get_mut(fetch) {
+            Some(FetchState::Cancelled) | None => false,
+            Some(state) => {
+                sharing.fetch_add(1, Ordering::SeqCst);
+                *state = FetchState::Connected(stream.clone(), sharing.clone(), None);
                 true
             }
         };
-        fetches.iter().map(&mut open).collect()
+        fetches.iter().map(&mut connect).collect()
     }
 
-    /// Its last byte is written.
-    pub fn written(&self, msg: u64, attempt: u8, dest: u16) {
-        if let Some(Out::Open(_, _, to)) = lock(&self.out).get_mut(&(msg, attempt)) {
+    /// The last byte of the request is written.
+    pub fn request_written(&self, msg: u64, attempt: u8, dest: u16) {
+        if let Some(FetchState::Connected(_, _, to)) = lock(&self.fetches).get_mut(&(msg, attempt)) {
             *to = Some(dest);
         }
     }
 
-    /// Connections on which something has come from this destination that nobody has taken out yet.
-    pub fn unread(&self, dest: u16) -> Vec<Arc<TcpStream>> {
-        let of = |out: &Out| match out {
-            Out::Open(stream, _, Some(to)) if *to == dest => Some(stream.clone()),
+    /// The connections on which a destination has sent something that is not read yet.
+    pub fn with_unread_input(&self, dest: u16) -> Vec<Arc<TcpStream>> {
+        let of = |state: &FetchState| match state {
+            FetchState::Connected(stream, _, Some(to)) if *to == dest => Some(stream.clone()),
             _ => None,
         };
-        let mut streams: Vec<Arc<TcpStream>> = lock(&self.out).values().filter_map(of).collect();
+        let mut streams: Vec<Arc<TcpStream>> = lock(&self.fetches).values().filter_map(of).collect();
         let mut fds: Vec<PollFd> = streams.iter().map(|s| PollFd::new(s, PollFlags::IN)).collect();
         if fds.is_empty() {
             return Vec::new();
         }
-        // Danger: an interrupted look taken for one that found nothing lets a call go into a wait that is told already.
-        let ready = until_clear(|| Ok(poll(&mut fds, Some(&Timespec::default()))?));
+        // The poll is repeated if it is interrupted: taken for one that found nothing, it would let a call begin during a
+        // Retry-After time that has already arrived.
+        let ready = retry_local_faults(|| Ok(poll(&mut fds, Some(&Timespec::default()))?));
         if !ready.is_ok_and(|ready| ready > 0) {
             return Vec::new();
         }
@@ -252,87 +263,88 @@
         streams
     }
 
-    /// The fetch is over; `true` if it was called off.
-    pub fn closed(&self, msg: u64, attempt: u8) -> bool {
-        match lock(&self.out).remove(&(msg, attempt)) {
-            Some(Out::CalledOff) => true,
-            Some(Out::Open(_, riders, _)) => {
-                riders.fetch_sub(1, Ordering::SeqCst);
+    /// The fetch has ended. Returns whether it was cancelled.
+    pub fn fetch_ended(&self, msg: u64, attempt: u8) -> bool {
+        match lock(&self.fetches).remove(&(msg, attempt)) {
+            Some(FetchState::Cancelled) => true,
+            Some(FetchState::Connected(_, sharing, _)) => {
+                sharing.fetch_sub(1, Ordering::SeqCst);
                 false
             }
             _ => false,
         }
     }
 
-    /// How many fetches are ordered or out.
-    pub fn out(&self) -> usize {
-        lock(&self.out).len()
+    /// The number of fetches that are ordered or under way.
+    pub fn fetch_count(&self) -> usize {
+        lock(&self.fetches).len()
     }
 
-    /// Calls a fetch off by closing its connection, unless others share it that are not called off. One that is over is
-    /// passed by.
+    /// Cancels a fetch. Its connection is closed unless other fetches share it that are not cancelled. Does nothing for a fetch
+    /// that has ended.
     pub fn cancel(&self, msg: u64, attempt: u8) {
-        if let Some(out) = lock(&self.out).get_mut(&(msg, attempt)) {
-            if let Out::Open(stream, riders, _) = std::mem::replace(out, Out::CalledOff) {
-                if riders.fetch_sub(1, Ordering::SeqCst) == 1 {
-                    // An error says that it is closed already.
+        if let Some(state) = lock(&self.fetches).get_mut(&(msg, attempt)) {
+            if let FetchState::Connected(stream, sharing, _) = std::mem::replace(state, FetchState::Cancelled)
+            {
+                if sharing.fetch_sub(1, Ordering::SeqCst) == 1 {
+                    // An error means that it is closed already.
                     let _ = stream.shutdown(Shutdown::Both);
                 }
             }
         }
     }
 
-    /// An idle connection that is still in order, the one used last. Danger: an endpoint closes connections that
-    /// have stood idle, and a request written to one of those ends as a reset that may have run; so one with an
-    /// end or stray bytes to read is dropped, and so is one that has been idle for long.
+    /// Takes the most recently used idle connection that is still usable. An endpoint closes connections that have been idle,
+    /// and a request written to such a connection ends with a reset after which it may have run. So a connection is dropped if
+    /// its end or unexpected input can be read, or if it has been idle for too long.
     pub fn reuse(&self, backend: &Backend) -> Option<(Arc<TcpStream>, u32)> {
         loop {
             let idle = lock(&self.idle).get_mut(backend)?.pop()?;
-            if idle.since.elapsed() < self.keep && quiet(&idle.stream) {
+            if idle.since.elapsed() < self.idle_timeout && is_idle(&idle.stream) {
                 return Some((idle.stream, idle.tag));
             }
         }
     }
 
-    /// Keeps a connection whose answer was read whole.
+    /// Keeps a connection whose response was read whole, and closes the one that has been idle longest if there are too many.
     pub fn keep(&self, backend: &Arc<Backend>, stream: Arc<TcpStream>, tag: u32) {
         let mut idle = lock(&self.idle);
-        idle.entry(backend.clone()).or_default().push(Idle { stream, tag, since: Instant::now() });
-        if idle.values().map(Vec::len).sum::<usize>() > self.most_idle {
-            let oldest = idle.iter().filter_map(|(b, l)| l.first().map(|i| (i.since, b.clone())));
+        idle.entry(backend.clone()).or_default().push(IdleConnection { stream, tag, since: Instant::now() });
+        if idle.values().map(Vec::len).sum::<usize>() > self.max_idle {
+            let oldest = idle.iter().filter_map(|(b, list)| list.first().map(|i| (i.since, b.clone())));
             let oldest = oldest.min_by_key(|(since, _)| *since);
             if let Some(list) = oldest.and_then(|(_, b)| idle.get_mut(&b)) {
-                self.part(list.remove(0));
+                self.close(list.remove(0));
             }
         }
     }
 
-    /// Closes idle connections to one backend.
-    pub fn let_go(&self, backend: &Backend) {
-        lock(&self.idle).remove(backend).into_iter().flatten().for_each(|idle| self.part(idle));
+    /// Closes the idle connections to one backend.
+    pub fn close_idle(&self, backend: &Backend) {
+        lock(&self.idle).remove(backend).into_iter().flatten().for_each(|idle| self.close(idle));
     }
 
-    /// Closes what has been idle for too long.
-    pub fn sweep(&self) {
-        let mut old = Vec::new();
+    /// Closes the connections that have been idle for too long.
+    pub fn close_expired(&self) {
+        let mut expired = Vec::new();
         lock(&self.idle).retain(|_, list| {
-            old.extend(list.extract_if(.., |idle| idle.since.elapsed() >= self.keep));
+            expired.extend(list.extract_if(.., |idle| idle.since.elapsed() >= self.idle_timeout));
             !list.is_empty()
         });
-        old.into_iter().for_each(|idle| self.part(idle));
+        expired.into_iter().for_each(|idle| self.close(idle));
     }
 
-    /// Closes an idle connection. It has nothing to send, so its farewell fits into its buffer and never waits.
-    fn part(&self, idle: Idle) {
-        if !self.farewell.is_empty() && quiet(&idle.stream) {
-            // An error says that it is closed already.
-            let _ = (&*idle.stream).write(self.farewell);
+    /// Closes an idle connection. It has no pending output, so the closing command fits into the send buffer and never blocks.
+    fn close(&self, idle: IdleConnection) {
+        if !self.closing_command.is_empty() && is_idle(&idle.stream) {
+            // An error means that it is closed already.
+            let _ = (&*idle.stream).write(self.closing_command);
         }
     }
 }
 
-/// Open, with nothing to read.
-pub fn quiet(stream: &TcpStream) -> bool {
-    let look = || Ok(rustix::net::recv(stream, &mut [0u8; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT)?);
-    until_clear(look).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
+/// Whether a connection is open and has nothing to read.
+pub fn is_idle(stream: &TcpStream) -> bool {
+    let peek = || Ok(rustix::net::recv(stream, &mut [0u8; 1], RecvFlags::PEEK | RecvFlags::DONTWAIT)?);
+    retry_local_faults(peek).is_err_and(|e| e.kind() == ErrorKind::WouldBlock)
 }
--- a/src/net/errors.rs
+++ b/src/net/errors.rs
@@ -1,39 +1,40 @@
-//! What the error of a system call says, in one place: whether it was interrupted, whether this machine lacks something just now,
-//! whether a deadline passed, or whether the other side is gone. `docs/system-calls.md` has the table of calls, errors and decisions.
+//! Classifies the errors of system calls on sockets: whether the call was interrupted, whether this machine lacks a resource,
+//! whether a deadline passed, or whether the other side failed. `docs/system-calls.md` has the table of calls, errors and
+//! decisions.
 
 use rustix::io::Errno;
 use std::io::{self, ErrorKind};
 
-/// What an error of a connection says.
+/// The class of an error on a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The call is made again.
+    /// A signal interrupted the call, which is to be repeated.
     Interrupted,
-    /// This process, or the machine, has no descriptor left.
+    /// This process, or the machine, has no free descriptor.
     NoDescriptor,
-    /// This machine lacks something else just now: memory, buffers, ports, a way out. It says nothing of the other side.
+    /// This machine lacks another resource at present: memory, buffers, ports, a route. It says nothing about the other side.
     Local,
-    /// Nothing happened until the deadline, or nothing is there yet.
+    /// Nothing happened until the deadline, or a non-blocking call would have to wait.
     TimedOut,
-    /// The connection, or the machine at its other end.
+    /// The connection or the machine at its other end failed.
     Remote,
 }
 
-/// What an error of `accept` asks for.
+/// The class of an error of `accept`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptFault {
-    /// Nobody waits any more.
-    Nobody,
-    /// It concerns one connection that is gone: the next one may come.
-    Next,
-    /// This process has no descriptor left: one of its own connections has to make room.
+    /// No connection is waiting.
+    QueueEmpty,
+    /// The connection that was to be accepted is gone; the next one can be accepted.
+    ConnectionLost,
+    /// This process has no free descriptor: it has to close one of its own connections.
     NoDescriptor,
-    /// The machine lacks something just now. Connections of this process that are closed for it would change nothing.
-    Later,
+    /// The machine lacks a resource at present. Closing connections of this process would not help.
+    Local,
 }
 
-/// Errors of the machine that the process runs on. `EACCES` and `EPERM` are a rule of its firewall.
-const LOCAL: [Errno; 10] = [
+/// Errors of the machine that the process runs on. `EACCES` and `EPERM` come from its firewall rules.
+const LOCAL_ERRORS: [Errno; 10] = [
     Errno::NOBUFS,
     Errno::NOMEM,
     Errno::ADDRNOTAVAIL,
@@ -46,9 +47,9 @@
     Errno::NOSR,
 ];
 
-/// Errors by which `accept` tells that the connection it took from the queue is gone. Linux passes network errors of the new
-/// connection on in this way.
-const OF_ONE_CONNECTION: [Errno; 12] = [
+/// Errors by which `accept` reports that the connection it took from the queue is gone. Linux reports pending network errors of
+/// the new connection in this way.
+const CONNECTION_LOST_ERRORS: [Errno; 12] = [
     Errno::INTR,
     Errno::CONNABORTED,
     Errno::PROTO,
@@ -63,44 +64,44 @@
     Errno::TIMEDOUT,
 ];
 
-fn is_one_of(e: &io::Error, all: &[Errno]) -> bool {
-    e.raw_os_error().is_some_and(|n| all.iter().any(|errno| errno.raw_os_error() == n))
+fn is_one_of(e: &io::Error, errnos: &[Errno]) -> bool {
+    e.raw_os_error().is_some_and(|number| errnos.iter().any(|errno| errno.raw_os_error() == number))
 }
 
-/// What an error of connecting, reading or writing says. Danger: `ETIMEDOUT` from the system is a connection that broke, not a
-/// deadline of ours that passed, though both are of the same kind.
+/// Classifies an error of connecting, reading or writing. `ETIMEDOUT` from the kernel means that the connection broke, not that
+/// one of our deadlines passed, although both errors have the same [`ErrorKind`].
 pub fn fault_of(e: &io::Error) -> Fault {
     match e.kind() {
         ErrorKind::Interrupted => Fault::Interrupted,
         ErrorKind::WouldBlock => Fault::TimedOut,
         ErrorKind::TimedOut if e.raw_os_error().is_none() => Fault::TimedOut,
-        _ if no_descriptor(e) => Fault::NoDescriptor,
-        _ if is_one_of(e, &LOCAL) => Fault::Local,
+        _ if is_out_of_descriptors(e) => Fault::NoDescriptor,
+        _ if is_one_of(e, &LOCAL_ERRORS) => Fault::Local,
         _ => Fault::Remote,
     }
 }
 
-/// What an error of `accept` asks for.
+/// Classifies an error of `accept`.
 pub fn accept_fault(e: &io::Error) -> AcceptFault {
     match e.kind() {
-        ErrorKind::WouldBlock => AcceptFault::Nobody,
-        _ if is_one_of(e, &OF_ONE_CONNECTION) => AcceptFault::Next,
+        ErrorKind::WouldBlock => AcceptFault::QueueEmpty,
+        _ if is_one_of(e, &CONNECTION_LOST_ERRORS) => AcceptFault::ConnectionLost,
         _ if is_one_of(e, &[Errno::MFILE]) => AcceptFault::NoDescriptor,
-        _ => AcceptFault::Later,
+        _ => AcceptFault::Local,
     }
 }
 
-/// True for an error that says that a deadline has passed.
-pub fn timed_out(e: &io::Error) -> bool {
+/// Whether the error means that a deadline has passed.
+pub fn is_timeout(e: &io::Error) -> bool {
     fault_of(e) == Fault::TimedOut
 }
 
-/// True for an error that says that this process, or the machine, has no descriptor left.
-pub fn no_descriptor(e: &io::Error) -> bool {
+/// Whether the error means that this process, or the machine, has no free descriptor.
+pub fn is_out_of_descriptors(e: &io::Error) -> bool {
     is_one_of(e, &[Errno::MFILE, Errno::NFILE])
 }
 
-/// True for an error that says nothing of the other side.
+/// Whether the error says nothing about the other side.
 pub fn is_local(e: &io::Error) -> bool {
     matches!(fault_of(e), Fault::Interrupted | Fault::NoDescriptor | Fault::Local)
 }
--- a/src/net/mail/client.rs
+++ b/src/net/mail/client.rs
@@ -9,7 +9,7 @@
 use super::Mail;
 use crate::api::Micros;
 use crate::core::{Answer, End, Fetch, Report};
-use crate::net::pool::Buf;
+use crate::net::pool::PooledBuffer;
 use crate::net::{conn, errors};
 use crossbeam_channel::Receiver;
 use std::net::TcpStream;
@@ -53,7 +53,7 @@
             Ok((end, said, spare)) => (end, said, spare),
             Err(Fault { end, said }) => (end, said, None),
         };
-        let called_off = mail.conns.closed(fetch.msg, fetch.attempt);
+        let called_off = mail.conns.fetch_ended(fetch.msg, fetch.attempt);
         if called_off && end == End::Broke {
             end = End::CalledOff;
         }
@@ -79,7 +79,7 @@
 /// One connection and what has been read from it.
 struct Talk<'a> {
     stream: &'a TcpStream,
-    buf: Buf,
+    buf: PooledBuffer,
     filled: usize,
     until: Instant,
 }
@@ -110,7 +110,7 @@
             match conn::read(self.stream, &mut self.buf[self.filled..], self.until) {
                 Ok(0) => return Err((false, "the connection was closed".into())),
                 Ok(n) => self.filled += n,
-                Err(e) => return Err((errors::timed_out(&e), e.to_string())),
+                Err(e) => return Err((errors::is_timeout(&e), e.to_string())),
             }
         }
     }
@@ -154,7 +154,7 @@
             (Arc::new(stream), None)
         }
     };
-    if !mail.conns.opened(fetch.msg, fetch.attempt, &stream) {
+    if !mail.conns.fetch_connected(fetch.msg, fetch.attempt, &stream) {
         return Err(fault(End::NotBegun, "called off"));
     }
     let mut talk = Talk { stream: &stream, buf: mail.pool.get(), filled: 0, until };
--- a/src/net/mail/mod.rs
+++ b/src/net/mail/mod.rs
@@ -10,9 +10,9 @@
 pub mod server;
 
 use super::acceptor::{self, AcceptorHandle, BufferLimits, ClientProtocol, ConnectionAcceptor};
-use super::conn::Conns;
-use super::pool::{Pool, BUF_BYTES};
-use super::{spawn, Front};
+use super::conn::FetchConnections;
+use super::pool::{BufferPool, BUFFER_BYTES};
+use super::{spawn, Frontend};
 use crate::admission::config::Wishes;
 use crate::core::{Courier, EndpointRecord, EndpointState, ListUpdate, Report, Source};
 use config::MailConfig;
@@ -41,9 +41,9 @@
     /// Its file.
     pub config: MailConfig,
     /// The buffers.
-    pub pool: Pool,
+    pub pool: BufferPool,
     /// The fetches' connections.
-    pub conns: Arc<Conns>,
+    pub conns: Arc<FetchConnections>,
     /// Client sessions.
     pub door: AcceptorHandle,
     admission: Wishes,
@@ -60,12 +60,12 @@
 /// Starts the front, all but its listeners.
 pub fn start(
     courier: &Arc<Courier>, config: MailConfig, slots: usize, state: &Path, admission: Wishes,
-) -> Result<(Arc<Mail>, Front), String> {
-    let conns = Arc::new(Conns::new(KEEP, 64, b"QUIT\r\n"));
+) -> Result<(Arc<Mail>, Frontend), String> {
+    let conns = Arc::new(FetchConnections::new(KEEP, 64, b"QUIT\r\n"));
     let mail = Arc::new(Mail {
         courier: courier.clone(),
         config,
-        pool: Pool::new(16),
+        pool: BufferPool::new(16),
         conns: conns.clone(),
         door: AcceptorHandle::new(),
         admission,
@@ -100,10 +100,10 @@
     threads().map_err(|e| format!("starting the mail front: {e}"))?;
     Ok((
         mail,
-        Front {
+        Frontend {
             number: FRONT,
             fetches,
-            split: super::each_alone,
+            split: super::one_fetch_per_call,
             notices,
             watch: None,
             read_list: None,
@@ -165,7 +165,7 @@
     mail: &Mail, name: &'static str, listener: TcpListener, clients: F,
 ) -> io::Result<()> {
     let rules = mail.admission.rules(usize::MAX);
-    let room = BufferLimits { total: HELD_MOST, per_connection: BUF_BYTES };
+    let room = BufferLimits { total: HELD_MOST, per_connection: BUFFER_BYTES };
     let acceptor =
         ConnectionAcceptor::new(name, clients, listener, &mail.door, mail.courier.clock, rules, room)?;
     spawn("mail-lobby", move || acceptor.run()).map(|_| ())
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets: std::net, threads with small stacks, buffers of one size. Two fronts share what is here: the
-//! platform's protocol and mail. Neither decides anything; they report to the core and do what it orders.
+//! Network I/O: threads with small stacks, sockets of the standard library, buffers of one size. Two protocol frontends share
+//! what is here: the platform's HTTP protocol and mail. They take no decisions; they report to the core and carry out its orders.
 
 pub mod acceptor;
 pub mod ask;
@@ -18,88 +18,89 @@
 use std::sync::Arc;
 use std::thread::{Builder, JoinHandle};
 
-/// Stack of every thread but the first.
-const STACK: usize = 192 * 1024;
+/// Stack size of every thread but the first.
+const THREAD_STACK_BYTES: usize = 192 * 1024;
 
-/// Starts a thread with a small stack. It runs for as long as the process unless it says otherwise.
+/// Starts a named thread with a small stack. Most of these threads run until the process ends.
 pub fn spawn(name: &str, run: impl FnOnce() + Send + 'static) -> io::Result<JoinHandle<()>> {
-    Builder::new().name(name.to_owned()).stack_size(STACK).spawn(run)
+    Builder::new().name(name.to_owned()).stack_size(THREAD_STACK_BYTES).spawn(run)
 }
 
-/// Where the orders of one front go.
+/// The channels through which the core's orders reach one protocol frontend.
 #[derive(Clone)]
-pub struct Front {
+pub struct Frontend {
     /// Its number, as in [`crate::core::Req::front`].
     pub number: u8,
     /// Calls to start; as many threads take them as the courier has slots.
     pub fetches: Sender<Vec<Fetch>>,
-    /// What of fetches that may share a call can share one here.
+    /// Divides fetches that may share a call into groups that can share one in this protocol.
     pub split: fn(Vec<Fetch>) -> Vec<Vec<Fetch>>,
-    /// Ends to tell.
+    /// Messages that ended undelivered, whose clients must be notified.
     pub notices: Sender<Notice>,
-    /// A wish to watch the list; a front without one pushes its list unasked.
+    /// Requests to watch the endpoint list; `None`: this frontend reports its list without being asked.
     pub watch: Option<Sender<()>>,
-    /// A wish to read the whole list once more, beside the watch.
+    /// Requests to read the whole list once more, in parallel to the watch.
     pub read_list: Option<Sender<()>>,
-    /// Endpoints to ask how they are; `None`: this front asks none.
+    /// Endpoints to probe; `None`: this frontend sends no probes.
     pub probes: Option<Sender<Probe>>,
-    /// Connections that are out or idle.
-    pub conns: Arc<conn::Conns>,
+    /// The connections of its fetches.
+    pub conns: Arc<conn::FetchConnections>,
 }
 
-impl Front {
+impl Frontend {
     fn start(&self, call: Vec<Fetch>) {
-        call.iter().for_each(|fetch| self.conns.ordered(fetch.msg, fetch.attempt));
-        // The receivers live as long as the process.
+        call.iter().for_each(|fetch| self.conns.fetch_ordered(fetch.msg, fetch.attempt));
+        // The receivers live until the process ends.
         let _ = self.fetches.send(call);
     }
 }
 
-/// For a front where each fetch is a call of its own.
-pub fn each_alone(fetches: Vec<Fetch>) -> Vec<Vec<Fetch>> {
+/// The [`Frontend::split`] of a protocol in which each fetch is a call of its own.
+pub fn one_fetch_per_call(fetches: Vec<Fetch>) -> Vec<Vec<Fetch>> {
     fetches.into_iter().map(|fetch| vec![fetch]).collect()
 }
 
-/// Hands each order to the front it concerns, and notes to the neighbours' thread, if there is one. It waits for none.
-pub fn dispatch(courier: &Courier, fronts: &[Front], peers: Option<&peers::Peers>) {
-    let of = |number: u8| fronts.iter().find(|f| f.number == number);
+/// Passes each order to the frontend that it concerns, and gossip messages to the peers' thread, if there is one. It waits for
+/// none of them.
+pub fn dispatch(courier: &Courier, frontends: &[Frontend], peers: Option<&peers::Peers>) {
+    let frontend = |number: u8| frontends.iter().find(|f| f.number == number);
     loop {
         match courier.next_order() {
             Order::Fetch(fetch) => {
-                if let Some(front) = of(fetch.req.front) {
-                    front.start(vec![fetch]);
+                if let Some(frontend) = frontend(fetch.req.front) {
+                    frontend.start(vec![fetch]);
                 }
             }
             Order::Batch(fetches) => {
-                let front = fetches.first().and_then(|fetch| of(fetch.req.front));
-                if let Some(front) = front {
-                    (front.split)(fetches).into_iter().for_each(|call| front.start(call));
+                let frontend = fetches.first().and_then(|fetch| frontend(fetch.req.front));
+                if let Some(frontend) = frontend {
+                    (frontend.split)(fetches).into_iter().for_each(|call| frontend.start(call));
                 }
             }
             Order::Notice(notice) => {
-                if let Some(front) = of(notice.req.front) {
-                    let _ = front.notices.send(notice);
+                if let Some(frontend) = frontend(notice.req.front) {
+                    let _ = frontend.notices.send(notice);
                 }
             }
-            Order::Cancel { msg, attempt } => fronts.iter().for_each(|f| f.conns.cancel(msg, attempt)),
-            Order::CloseIdle(backend) => fronts.iter().for_each(|f| f.conns.let_go(&backend)),
+            Order::Cancel { msg, attempt } => frontends.iter().for_each(|f| f.conns.cancel(msg, attempt)),
+            Order::CloseIdle(backend) => frontends.iter().for_each(|f| f.conns.close_idle(&backend)),
             Order::WatchList => {
-                for watch in fronts.iter().filter_map(|f| f.watch.as_ref()) {
+                for watch in frontends.iter().filter_map(|f| f.watch.as_ref()) {
                     let _ = watch.send(());
                 }
             }
-            Order::ReadList(front) => {
-                if let Some(read) = of(front).and_then(|f| f.read_list.as_ref()) {
+            Order::ReadList(number) => {
+                if let Some(read) = frontend(number).and_then(|f| f.read_list.as_ref()) {
                     let _ = read.send(());
                 }
             }
             Order::Probe(probe) => {
-                let left = match fronts.iter().find_map(|f| f.probes.as_ref()) {
+                let undelivered = match frontends.iter().find_map(|f| f.probes.as_ref()) {
                     Some(probes) => probes.try_send(probe).err().map(|e| e.into_inner()),
                     None => Some(probe),
                 };
-                // Danger: one that is dropped without a word leaves its endpoint half open for ever.
-                if let Some(probe) = left {
+                // A probe that is dropped without a result would leave its endpoint half-open for ever.
+                if let Some(probe) = undelivered {
                     courier.probed(&probe, Outcome::NotSent, Micros(0), Vec::new());
                 }
             }
--- a/src/net/platform/answer.rs
+++ b/src/net/platform/answer.rs
@@ -4,7 +4,7 @@
 use super::{Platform, FRONT};
 use crate::api::Micros;
 use crate::core::{End, Fetch, Report};
-use crate::net::pool::Buf;
+use crate::net::pool::PooledBuffer;
 use crate::net::{conn, errors};
 use std::io::ErrorKind;
 use std::net::TcpStream;
@@ -39,7 +39,7 @@
 /// The same for whatever goes to this destination.
 pub fn hear_of(platform: &Platform, dest: u16) -> bool {
     let (mut head, mut told) = ([0; PEEKED], false);
-    for stream in platform.conns.unread(dest) {
+    for stream in platform.conns.with_unread_input(dest) {
         let n = conn::peek_now(&stream, &mut head);
         told |= tell_wait(platform, dest, &head[..n]);
     }
@@ -100,7 +100,8 @@
 /// proves nothing unless it is whole and nothing follows: the call may have run. None of them holds the slot until the
 /// deadline.
 pub fn hear(
-    platform: &Platform, fetch: &Fetch, stream: &TcpStream, buf: &mut Buf, until: Instant, body: bool,
+    platform: &Platform, fetch: &Fetch, stream: &TcpStream, buf: &mut PooledBuffer, until: Instant,
+    body: bool,
 ) -> (Came, Instant) {
     let clock = &platform.courier.clock;
     let within = |span| until.min(clock.instant(clock.now() + span));
@@ -140,10 +141,10 @@
         let by = Instant::now() + AT_ONCE;
         match there.and_then(|_| conn::read(stream, &mut buf[filled..], by)) {
             Ok(n) if n > 0 => filled += n,
-            Err(e) if errors::timed_out(&e) && rest.is_none() => {
+            Err(e) if errors::is_timeout(&e) && rest.is_none() => {
                 return (Came::Nothing(End::TimedOut), Instant::now());
             }
-            Err(e) if errors::timed_out(&e) => return unread(&buf[..filled]),
+            Err(e) if errors::is_timeout(&e) => return unread(&buf[..filled]),
             _ if http::says_200(&buf[..filled]) => return unread(&buf[..filled]),
             _ => return (Came::Nothing(End::Broke), Instant::now()),
         }
--- a/src/net/platform/batch.rs
+++ b/src/net/platform/batch.rs
@@ -6,7 +6,7 @@
 use super::Platform;
 use crate::api::Micros;
 use crate::core::{End, Fetch};
-use crate::net::pool::{Buf, BODY_MOST};
+use crate::net::pool::{PooledBuffer, MAX_BODY_BYTES};
 use crate::net::{conn, errors};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -42,7 +42,7 @@
             Some(call) => call.push(fetch),
             None => {
                 calls.push(vec![fetch]);
-                room = BODY_MOST - "[]".len();
+                room = MAX_BODY_BYTES - "[]".len();
             }
         }
         room = room.saturating_sub(takes);
@@ -90,7 +90,7 @@
         };
         let kept = |stream| Some((first.clone(), stream));
         let names: Vec<(u64, u8)> = self.riding.iter().map(|fetch| (fetch.msg, fetch.attempt)).collect();
-        let mut open = self.platform.conns.opened_together(&names, &stream).into_iter();
+        let mut open = self.platform.conns.fetches_connected(&names, &stream).into_iter();
         self.keep_those(|_| open.next().unwrap_or_default());
         // The last look before the first byte, for each by itself.
         hear_others(self.platform, &first);
@@ -102,7 +102,7 @@
         let mut buf = self.platform.pool.get();
         let Some(len) = self.write(&mut buf) else { return kept(stream) };
         // As with one message.
-        if reused && !conn::quiet(&stream) {
+        if reused && !conn::is_idle(&stream) {
             self.all(End::NotBegun);
             return None;
         }
@@ -114,7 +114,7 @@
         }
         for fetch in &self.riding {
             self.platform.courier.board.wrote();
-            self.platform.conns.written(fetch.msg, fetch.attempt, fetch.req.dest);
+            self.platform.conns.request_written(fetch.msg, fetch.attempt, fetch.req.dest);
         }
         if !self.wait(&stream, until, sent) {
             return None;
@@ -147,7 +147,7 @@
     }
 
     /// The request's bytes; `None` if they don't fit, or the time of all is up.
-    fn write(&self, buf: &mut Buf) -> Option<usize> {
+    fn write(&self, buf: &mut PooledBuffer) -> Option<usize> {
         let now = self.platform.courier.clock.now();
         let left_ms =
             self.riding.first().map(|fetch| (fetch.deadline - now).0 / 1000).filter(|ms| *ms > 0)?;
@@ -157,7 +157,7 @@
             .iter()
             .map(|fetch| Item { id: &fetch.req.id, key: &fetch.req.head, body: item(fetch) })
             .collect();
-        let body = serde_json::to_vec(&items).ok().filter(|body| body.len() <= BODY_MOST)?;
+        let body = serde_json::to_vec(&items).ok().filter(|body| body.len() <= MAX_BODY_BYTES)?;
         let (size, host) = (buf.len(), self.riding.first()?.backend.addr);
         let mut rest = &mut buf[..];
         write!(rest, "POST /hook/batch HTTP/1.1\r\nHost: {host}\r\nReq-Deadline-Ms: {left_ms}\r\n").ok()?;
@@ -171,7 +171,7 @@
     /// that may go again must not be told before the call is closed, or two copies are out.
     fn wait(&mut self, stream: &TcpStream, until: Instant, sent: Instant) -> bool {
         match conn::peek(stream, &mut [0], until) {
-            Err(e) if errors::timed_out(&e) => {
+            Err(e) if errors::is_timeout(&e) => {
                 // An error says that it is closed already.
                 let _ = stream.shutdown(Shutdown::Both);
                 self.all(End::TimedOut);
@@ -183,7 +183,7 @@
     }
 
     /// What the answer says of each member; the load it tells, and whether the connection may serve again.
-    fn ends(&mut self, came: Came, buf: &Buf) -> (Vec<f32>, bool) {
+    fn ends(&mut self, came: Came, buf: &PooledBuffer) -> (Vec<f32>, bool) {
         match came {
             Came::Nothing(end) => self.all(end),
             // What a half answer says of some is nothing that ends a message.
@@ -220,7 +220,7 @@
         let conns = &self.platform.conns;
         let mut ends = std::mem::take(&mut self.over);
         for (fetch, end) in &mut ends {
-            if conns.closed(fetch.msg, fetch.attempt) && *end == End::Broke {
+            if conns.fetch_ended(fetch.msg, fetch.attempt) && *end == End::Broke {
                 *end = End::CalledOff;
             }
         }
@@ -355,7 +355,7 @@
                 .iter()
                 .map(|f| Item { id: &f.req.id, key: &f.req.head, body: STANDARD.encode(&f.req.body) })
                 .collect();
-            assert!(serde_json::to_vec(&items).unwrap().len() <= BODY_MOST);
+            assert!(serde_json::to_vec(&items).unwrap().len() <= MAX_BODY_BYTES);
         }
         assert_eq!(split((0..20).map(|_| fetch("id", 300)).collect()).len(), 1, "small ones go together");
     }
--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -60,7 +60,7 @@
             tracing::warn!(target: "discovery", "the watch on the list at {addr} ended: {e}");
             // Where lists are pushed, `pauses` are short anyhow.
             let own = again
-                .retry_within(errors::timed_out(&e))
+                .retry_within(errors::is_timeout(&e))
                 .filter(|_| !pushed)
                 .map(|span| platform.site.within(span));
             let Some(pause) = platform.site.failed(addr).or(own) else { break };
@@ -188,8 +188,10 @@
     for _ in 0..READS_BETWEEN {
         // Danger: by way of a watch that is not offered, the list would be a call and an answer later.
         while let Err(e) = read_whole(platform) {
-            let own = platform.site.alone() && !platform.names.pushed && errors::timed_out(&e);
-            let Some(span) = again.retry_within(errors::timed_out(&e)).filter(|_| own) else { return Err(e) };
+            let own = platform.site.alone() && !platform.names.pushed && errors::is_timeout(&e);
+            let Some(span) = again.retry_within(errors::is_timeout(&e)).filter(|_| own) else {
+                return Err(e);
+            };
             tracing::warn!(target: "discovery", "the list at {addr} was not told: {e}");
             rest(orders, platform.site.within(span));
         }
--- a/src/net/platform/fetch.rs
+++ b/src/net/platform/fetch.rs
@@ -4,7 +4,7 @@
 use super::{batch, Platform};
 use crate::api::Micros;
 use crate::core::{Answer, End, Fetch, Report};
-use crate::net::pool::Buf;
+use crate::net::pool::PooledBuffer;
 use crate::net::{conn, errors};
 use crossbeam_channel::Receiver;
 use std::io::Write;
@@ -43,7 +43,7 @@
 /// One fetch, by a call of its own.
 pub fn run(platform: &Platform, fetch: Fetch) {
     let mut done = attempt(platform, &fetch);
-    let called_off = platform.conns.closed(fetch.msg, fetch.attempt);
+    let called_off = platform.conns.fetch_ended(fetch.msg, fetch.attempt);
     if called_off && done.end == End::Broke {
         done.end = End::CalledOff;
     }
@@ -61,7 +61,7 @@
         Ok(connected) => connected,
         Err(end) => return Done::without_answer(end),
     };
-    if !platform.conns.opened(fetch.msg, fetch.attempt, &stream) {
+    if !platform.conns.fetch_connected(fetch.msg, fetch.attempt, &stream) {
         return Done::without_answer(End::NotBegun);
     }
     let mut buf = platform.pool.get();
@@ -77,7 +77,7 @@
     }
     // Danger: an endpoint that has ended a connection that idled, or has said something on it that nobody asked, does so at any
     // moment; what is written then counts as a call that may have run, or takes a stray answer for its own.
-    if reused && !conn::quiet(&stream) {
+    if reused && !conn::is_idle(&stream) {
         return Done::without_answer(End::NotBegun);
     }
     let sent = Instant::now();
@@ -87,7 +87,7 @@
         return Done::without_answer(if reused { End::NotBegun } else { End::NotConnected });
     }
     platform.courier.board.wrote();
-    platform.conns.written(fetch.msg, fetch.attempt, fetch.req.dest);
+    platform.conns.request_written(fetch.msg, fetch.attempt, fetch.req.dest);
     let (came, at) = answer::hear(platform, fetch, &stream, &mut buf, until, false);
     let latency = Micros((at - sent).as_micros() as u64);
     let (end, load, reusable) = match came {
@@ -117,7 +117,7 @@
 }
 
 /// The request's bytes; `None` if they don't fit, which no req that was taken on does.
-fn write_request(buf: &mut Buf, fetch: &Fetch, left_ms: u64) -> Option<usize> {
+fn write_request(buf: &mut PooledBuffer, fetch: &Fetch, left_ms: u64) -> Option<usize> {
     let (req, size) = (&fetch.req, buf.len());
     let mut rest = &mut buf[..];
     write!(rest, "POST /hook HTTP/1.1\r\nHost: {}\r\nReq-Id: {}\r\n", fetch.backend.addr, req.id).ok()?;
--- a/src/net/platform/http.rs
+++ b/src/net/platform/http.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 heads, read with httparse: requests of clients, answers of endpoints and of discovery.
 
 use crate::api::Micros;
-use crate::net::pool::{BODY_MOST, HEAD_MOST};
+use crate::net::pool::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
 const HEADERS_MOST: usize = 64;
 /// The longest told wait that is believed; no message lives so long.
@@ -66,9 +66,9 @@
     let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
     let mut parsed = httparse::Request::new(&mut headers);
     let head = match parsed.parse(bytes) {
-        Ok(httparse::Status::Complete(n)) if n > HEAD_MOST => return Err(Bad::Head),
+        Ok(httparse::Status::Complete(n)) if n > MAX_HEAD_BYTES => return Err(Bad::Head),
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() >= HEAD_MOST => return Err(Bad::Head),
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => return Err(Bad::Head),
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(Bad::Head),
         Err(_) => return Err(Bad::Malformed),
@@ -114,7 +114,7 @@
     if length.is_none() && matches!(out.method.as_str(), "POST" | "PUT" | "PATCH") {
         return Err(Bad::NoLength);
     }
-    out.body = usize::try_from(length.unwrap_or(0)).ok().filter(|n| *n <= BODY_MOST).ok_or(Bad::Body)?;
+    out.body = usize::try_from(length.unwrap_or(0)).ok().filter(|n| *n <= MAX_BODY_BYTES).ok_or(Bad::Body)?;
     Ok(Some(out))
 }
 
@@ -169,7 +169,7 @@
     let mut parsed = httparse::Response::new(&mut headers);
     let head = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() >= HEAD_MOST => return Err(Bad::Head),
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => return Err(Bad::Head),
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(_) => return Err(Bad::Malformed),
     };
@@ -234,7 +234,7 @@
     pub fn end(&self, bytes: &[u8], ended: bool) -> Result<Option<usize>, Bad> {
         let body = bytes.get(self.head..).ok_or(Bad::Malformed)?;
         match self.body {
-            Body::Length(n) if n > BODY_MOST => Err(Bad::Body),
+            Body::Length(n) if n > MAX_BODY_BYTES => Err(Bad::Body),
             Body::Length(n) => Ok((body.len() >= n).then_some(self.head + n)),
             Body::Close => Ok(ended.then_some(bytes.len())),
             Body::Chunked => Ok(chunks(body)?.map(|n| self.head + n)),
@@ -251,7 +251,7 @@
         }
         let mut content = Vec::with_capacity(body.len());
         while let Ok(httparse::Status::Complete((line, size))) = httparse::parse_chunk_size(body) {
-            let size = usize::try_from(size).ok().filter(|n| *n <= BODY_MOST)?;
+            let size = usize::try_from(size).ok().filter(|n| *n <= MAX_BODY_BYTES)?;
             if size == 0 {
                 return Some(content);
             }
@@ -269,7 +269,7 @@
         let size = match httparse::parse_chunk_size(&body[at..]) {
             Ok(httparse::Status::Complete((line, size))) => {
                 at += line;
-                usize::try_from(size).ok().filter(|n| *n <= BODY_MOST).ok_or(Bad::Body)?
+                usize::try_from(size).ok().filter(|n| *n <= MAX_BODY_BYTES).ok_or(Bad::Body)?
             }
             Ok(httparse::Status::Partial) => return Ok(None),
             Err(_) => return Err(Bad::Malformed),
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -12,9 +12,9 @@
 pub mod site;
 
 use super::acceptor::{AcceptorHandle, BufferLimits, ConnectionAcceptor, ExportedConnection};
-use super::conn::Conns;
-use super::pool::{Pool, BUF_BYTES};
-use super::{spawn, Front};
+use super::conn::FetchConnections;
+use super::pool::{BufferPool, BUFFER_BYTES};
+use super::{spawn, Frontend};
 use crate::admission::config::Wishes;
 use crate::admission::Rules;
 use crate::api::Micros;
@@ -59,9 +59,9 @@
     /// How often the whole list is read where there is no watch.
     pub poll: Micros,
     /// The buffers.
-    pub pool: Pool,
+    pub pool: BufferPool,
     /// The fetches' connections.
-    pub conns: Arc<Conns>,
+    pub conns: Arc<FetchConnections>,
     /// Where discovery is, and the connections to it.
     pub site: Site,
     /// Client sessions.
@@ -74,10 +74,10 @@
 pub fn start(
     courier: &Arc<Courier>, bounds: Bounds, names: NetworkSettings, slots: usize, discovery: AddressRotation,
     poll: Micros, admission: &Wishes,
-) -> io::Result<(Arc<Platform>, Front)> {
+) -> io::Result<(Arc<Platform>, Frontend)> {
     let keep = Duration::from_secs_f64(names.conn_idle.secs() * KEEP_SHARE);
     let idle = bounds.sockets / 8;
-    let conns = Arc::new(Conns::new(keep, idle, b""));
+    let conns = Arc::new(FetchConnections::new(keep, idle, b""));
     // Danger: clients that asked once and stay for their 2 s come by hundreds. All that is not needed is theirs.
     let free = bounds.sockets.saturating_sub(idle + slots + OTHERS).max(bounds.sockets / 3);
     let places = free.min(bounds.memory / SESSIONS_SHARE / SESSION_BYTES);
@@ -89,7 +89,7 @@
         batches: names.batches,
         names,
         poll,
-        pool: Pool::new(POOL_KEEPS),
+        pool: BufferPool::new(POOL_KEEPS),
         conns: conns.clone(),
         site: Site::new(discovery, watch.clone(), door.clone()),
         door,
@@ -121,7 +121,7 @@
     }
     Ok((
         platform,
-        Front { number: FRONT, fetches, split: batch::split, notices, watch, read_list, probes, conns },
+        Frontend { number: FRONT, fetches, split: batch::split, notices, watch, read_list, probes, conns },
     ))
 }
 
@@ -132,7 +132,7 @@
     tracing::info!(target: "platform", "platform on {}", listener.local_addr()?);
     let clients = session::Clients(platform.clone());
     let (clock, rules) = (platform.courier.clock, platform.rules.clone());
-    let room = BufferLimits { total: platform.held_most, per_connection: BUF_BYTES };
+    let room = BufferLimits { total: platform.held_most, per_connection: BUFFER_BYTES };
     let mut acceptor =
         ConnectionAcceptor::new("platform", clients, listener, &platform.door, clock, rules, room)?;
     sessions.into_iter().for_each(|(fd, words)| acceptor.import_connection(fd, words));
--- a/src/net/platform/notices.rs
+++ b/src/net/platform/notices.rs
@@ -75,7 +75,7 @@
 ) -> std::io::Result<(u16, Option<Arc<TcpStream>>)> {
     let body: String = notices.iter().map(line).collect();
     // Where discovery has moved, its old connections have ended and are not quiet.
-    let stream = match kept.filter(|stream| conn::quiet(stream)) {
+    let stream = match kept.filter(|stream| conn::is_idle(stream)) {
         Some(stream) => stream,
         None => platform.site.connect(until)?,
     };
--- a/src/net/platform/probe.rs
+++ b/src/net/platform/probe.rs
@@ -6,7 +6,7 @@
 use super::Platform;
 use crate::api::{Micros, Outcome};
 use crate::core::Probe;
-use crate::net::pool::Buf;
+use crate::net::pool::PooledBuffer;
 use crate::net::{conn, errors};
 use crossbeam_channel::Receiver;
 use std::net::TcpStream;
@@ -25,9 +25,9 @@
 /// Takes orders for as long as there are any.
 pub fn work(platform: &Platform, orders: &Receiver<Probe>) {
     for probe in orders {
-        platform.conns.ordered(probe.number(), 0);
+        platform.conns.fetch_ordered(probe.number(), 0);
         let ended = ask(platform, &probe);
-        platform.conns.closed(probe.number(), 0);
+        platform.conns.fetch_ended(probe.number(), 0);
         if let Some(spare) = ended.spare {
             platform.conns.keep(&probe.backend, spare, 0);
         }
@@ -64,13 +64,13 @@
             Err(_) => return Ended::without_answer(Outcome::ConnectFailed, None),
         },
     };
-    platform.conns.opened(probe.number(), 0, &stream);
+    platform.conns.fetch_connected(probe.number(), 0, &stream);
     // The last look before the first byte: the queue and the connection may have taken long, and so may the look itself.
     hear_of(platform, probe.dest);
     if !platform.courier.may_probe(probe) || hear_of(platform, probe.dest) {
         return Ended::without_answer(Outcome::NotSent, Some(stream));
     }
-    if reused && !conn::quiet(&stream) {
+    if reused && !conn::is_idle(&stream) {
         return Ended::without_answer(Outcome::NotSent, None);
     }
     let sent = Instant::now();
@@ -79,7 +79,7 @@
         // One that was idle and broke says nothing of its endpoint: it may have been closed for its idleness just now.
         return Ended::without_answer(if reused { Outcome::NotSent } else { Outcome::ConnectFailed }, None);
     }
-    platform.conns.written(probe.number(), 0, probe.dest);
+    platform.conns.request_written(probe.number(), 0, probe.dest);
     let mut buf = platform.pool.get();
     let heard = hear(platform, probe, &stream, &mut buf, until);
     let latency = Micros(sent.elapsed().as_micros() as u64);
@@ -102,7 +102,7 @@
 
 /// Reads the answer's head before the deadline, and whether the answer is whole with nothing behind it.
 fn hear(
-    platform: &Platform, probe: &Probe, stream: &TcpStream, buf: &mut Buf, until: Instant,
+    platform: &Platform, probe: &Probe, stream: &TcpStream, buf: &mut PooledBuffer, until: Instant,
 ) -> Result<(AnswerHead, bool), Outcome> {
     let mut filled = 0;
     let head = loop {
@@ -125,7 +125,7 @@
         let by = Instant::now() + AT_ONCE;
         match there.and_then(|_| conn::read(stream, &mut buf[filled..], by)) {
             Ok(n) if n > 0 => filled += n,
-            Err(e) if errors::timed_out(&e) => return Err(Outcome::Timeout),
+            Err(e) if errors::is_timeout(&e) => return Err(Outcome::Timeout),
             _ => return Err(Outcome::Reset),
         }
     };
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,56 +1,57 @@
-//! Buffers of one size, used again.
+//! A pool of reusable buffers of one size.
 
 use crossbeam_channel::{bounded, Receiver, Sender};
 use std::ops::{Deref, DerefMut};
 
-/// Room for the longest head and the longest body that are taken, and a little more.
-pub const BUF_BYTES: usize = HEAD_MOST + BODY_MOST + 1024;
-/// The longest head of a request or an answer.
-pub const HEAD_MOST: usize = 8 * 1024;
-/// The longest body.
-pub const BODY_MOST: usize = 64 * 1024;
+/// The size of a buffer: the longest head and the longest body that are accepted, and a little more.
+pub const BUFFER_BYTES: usize = MAX_HEAD_BYTES + MAX_BODY_BYTES + 1024;
+/// The longest head of a request or response.
+pub const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// The longest body of a request or response.
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// The pool. It keeps a bounded number; what is beyond that is freed.
+/// Keeps a limited number of unused buffers; further ones are freed.
 #[derive(Clone)]
-pub struct Pool {
-    back: Sender<Box<[u8]>>,
+pub struct BufferPool {
+    returned: Sender<Box<[u8]>>,
     free: Receiver<Box<[u8]>>,
 }
 
-/// A buffer on loan; dropping it gives it back.
-pub struct Buf {
+/// A buffer of the pool, returned to it when dropped.
+pub struct PooledBuffer {
     bytes: Box<[u8]>,
-    back: Sender<Box<[u8]>>,
+    pool: Sender<Box<[u8]>>,
 }
 
-impl Pool {
-    /// A pool that keeps so many idle buffers.
-    pub fn new(keeps: usize) -> Pool {
-        let (back, free) = bounded(keeps);
-        Pool { back, free }
+impl BufferPool {
+    /// Creates a pool that keeps at most `max_free` unused buffers.
+    pub fn new(max_free: usize) -> BufferPool {
+        let (returned, free) = bounded(max_free);
+        BufferPool { returned, free }
     }
 
-    /// A buffer; its content is whatever its last user left there.
-    pub fn get(&self) -> Buf {
-        let bytes = self.free.try_recv().unwrap_or_else(|_| vec![0; BUF_BYTES].into_boxed_slice());
-        Buf { bytes, back: self.back.clone() }
+    /// Takes a buffer. Its content is what the previous user left in it.
+    pub fn get(&self) -> PooledBuffer {
+        let bytes = self.free.try_recv().unwrap_or_else(|_| vec![0; BUFFER_BYTES].into_boxed_slice());
+        PooledBuffer { bytes, pool: self.returned.clone() }
     }
 }
 
-impl Drop for Buf {
+impl Drop for PooledBuffer {
     fn drop(&mut self) {
-        let _ = self.back.try_send(std::mem::take(&mut self.bytes));
+        // An error means that the pool is full or gone; the buffer is freed.
+        let _ = self.pool.try_send(std::mem::take(&mut self.bytes));
     }
 }
 
-impl Deref for Buf {
+impl Deref for PooledBuffer {
     type Target = [u8];
     fn deref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-impl DerefMut for Buf {
+impl DerefMut for PooledBuffer {
     fn deref_mut(&mut self) -> &mut [u8] {
         &mut self.bytes
     }
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -1,64 +1,64 @@
-//! Reads and writes that don't wait, each as one step with a typed result. Interrupted calls are made again here.
+//! Non-blocking reads and writes with typed results. Interrupted calls are repeated here.
 
 use super::errors::{fault_of, Fault};
 use std::io::{Read, Write};
 
-/// What came of a read.
+/// The result of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Received {
-    /// So many bytes.
+    /// The number of bytes read.
     Bytes(usize),
-    /// The other side has ended.
-    Ended,
-    /// Nothing is there yet.
-    Nothing,
-    /// This machine lacks something just now: to be read again soon, with no word of the poll.
-    Later,
-    /// The connection broke.
-    Broke,
+    /// The other side has closed its sending side.
+    EndOfStream,
+    /// No input has arrived yet.
+    WouldBlock,
+    /// This machine lacks a resource at present. The read is to be retried soon; no poll event announces it.
+    LocalFault,
+    /// The connection failed.
+    Broken,
 }
 
-/// What came of a write, beside the bytes that went.
+/// The result of a write, beside the number of bytes written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Sent {
-    /// All of them.
+    /// Everything was written.
     All,
-    /// The other side takes no more now.
-    Full,
-    /// This machine lacks something just now: to be written again soon, with no word of the poll.
-    Later,
-    /// The connection broke.
-    Broke,
+    /// The send buffer is full.
+    WouldBlock,
+    /// This machine lacks a resource at present. The write is to be retried soon; no poll event announces it.
+    LocalFault,
+    /// The connection failed.
+    Broken,
 }
 
 /// Reads once.
 pub fn receive(stream: &mut impl Read, into: &mut [u8]) -> Received {
     loop {
         return match stream.read(into) {
-            Ok(0) => Received::Ended,
+            Ok(0) => Received::EndOfStream,
             Ok(n) => Received::Bytes(n),
             Err(e) => match fault_of(&e) {
                 Fault::Interrupted => continue,
-                Fault::TimedOut => Received::Nothing,
-                Fault::Local | Fault::NoDescriptor => Received::Later,
-                Fault::Remote => Received::Broke,
+                Fault::TimedOut => Received::WouldBlock,
+                Fault::Local | Fault::NoDescriptor => Received::LocalFault,
+                Fault::Remote => Received::Broken,
             },
         };
     }
 }
 
-/// Writes as much as is taken; says how much that was.
+/// Writes until everything is written or the socket accepts no more. Returns the number of bytes written.
 pub fn send(stream: &mut impl Write, bytes: &[u8]) -> (usize, Sent) {
     let mut written = 0;
     while written < bytes.len() {
         match stream.write(&bytes[written..]) {
-            Ok(0) => return (written, Sent::Broke),
+            Ok(0) => return (written, Sent::Broken),
             Ok(n) => written += n,
             Err(e) => match fault_of(&e) {
                 Fault::Interrupted => {}
-                Fault::TimedOut => return (written, Sent::Full),
-                Fault::Local | Fault::NoDescriptor => return (written, Sent::Later),
-                Fault::Remote => return (written, Sent::Broke),
+                Fault::TimedOut => return (written, Sent::WouldBlock),
+                Fault::Local | Fault::NoDescriptor => return (written, Sent::LocalFault),
+                Fault::Remote => return (written, Sent::Broken),
             },
         }
     }
--- a/src/store/home.rs
+++ b/src/store/home.rs
@@ -1,6 +1,6 @@
 //! Where a journal's files are: a folder, or memory. Nothing above knows which.
 
-use crate::net::errors::no_descriptor;
+use crate::net::errors::is_out_of_descriptors;
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, ErrorKind, Write};
@@ -63,7 +63,7 @@
     fn with_descriptor<T>(&mut self, open: impl Fn() -> io::Result<T>) -> io::Result<T> {
         loop {
             match open() {
-                Err(e) if no_descriptor(&e) && !self.open.is_empty() => drop(self.open.remove(0)),
+                Err(e) if is_out_of_descriptors(&e) && !self.open.is_empty() => drop(self.open.remove(0)),
                 other => return other,
             }
         }
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -59,7 +59,7 @@
     if !fds.is_empty() && !control.push(SendAncillaryMessage::ScmRights(fds)) {
         return Err(io::Error::other("no room for descriptors"));
     }
-    conn::Wire::set_write_timeout(stream, Some(left(until)?))?;
+    conn::SocketStream::set_write_timeout(stream, Some(left(until)?))?;
     // A head of four bytes goes as a whole or not at all.
     let sent = sendmsg(stream, &[IoSlice::new(&head)], &mut control, SendFlags::NOSIGNAL)?;
     if sent != HEAD {
@@ -73,7 +73,7 @@
     let mut head = [0; HEAD];
     let (mut filled, mut fds) = (0, Vec::new());
     while filled < HEAD {
-        conn::Wire::set_read_timeout(stream, Some(left(until)?))?;
+        conn::SocketStream::set_read_timeout(stream, Some(left(until)?))?;
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(FDS_MOST))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
         let into = &mut [IoSliceMut::new(&mut head[filled..])];
@@ -180,7 +180,7 @@
             assert_eq!(hear(&b, soon()).unwrap_err().kind(), ErrorKind::InvalidData, "{bytes:?}");
         }
         let (_a, b) = UnixStream::pair().unwrap();
-        assert!(crate::net::errors::timed_out(
+        assert!(crate::net::errors::is_timeout(
             &hear(&b, Instant::now() + Duration::from_millis(20)).unwrap_err()
         ));
     }
--- a/tests/conn.rs
+++ b/tests/conn.rs
@@ -1,7 +1,7 @@
 //! Connections and buffers by themselves.
 
 use indigohold::core::Backend;
-use indigohold::net::conn::{quiet, Conns};
+use indigohold::net::conn::{is_idle, FetchConnections};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
@@ -20,14 +20,14 @@
     let (one, mut other) = pair();
     let addr = other.local_addr().unwrap();
     let backend = |name: &str| Arc::new(Backend { name: name.into(), addr });
-    let conns = Conns::new(Duration::from_secs(60), 8, b"");
+    let conns = FetchConnections::new(Duration::from_secs(60), 8, b"");
     conns.keep(&backend("old"), Arc::new(one), 7);
     assert!(conns.reuse(&backend("new")).is_none());
     let (stream, tag) = conns.reuse(&backend("old")).unwrap();
     assert_eq!(tag, 7);
     conns.keep(&backend("old"), stream, tag);
-    conns.let_go(&backend("new"));
-    conns.let_go(&backend("old"));
+    conns.close_idle(&backend("new"));
+    conns.close_idle(&backend("old"));
     assert!(conns.reuse(&backend("old")).is_none());
     assert_eq!(other.read(&mut [0]).unwrap(), 0);
 }
@@ -37,19 +37,19 @@
 #[test]
 fn a_connection_is_quiet_only_while_nothing_came_on_it() {
     let (one, mut other) = pair();
-    assert!(quiet(&one));
+    assert!(is_idle(&one));
     other.write_all(b"H").unwrap();
     one.peek(&mut [0]).unwrap();
-    assert!(!quiet(&one), "a stray answer");
+    assert!(!is_idle(&one), "a stray answer");
     let (one, other) = pair();
     drop(other);
     one.peek(&mut [0]).unwrap();
-    assert!(!quiet(&one), "its end");
+    assert!(!is_idle(&one), "its end");
     let (one, other) = pair();
     (&one).write_all(b"unread").unwrap();
     other.peek(&mut [0]).unwrap();
     drop(other);
     // Closed over unread bytes: a reset.
     one.peek(&mut [0]).unwrap_err();
-    assert!(!quiet(&one), "a reset");
+    assert!(!is_idle(&one), "a reset");
 }
--- a/tests/system_calls.rs
+++ b/tests/system_calls.rs
@@ -1,8 +1,8 @@
 //! System calls that fail in the ways that Linux documents, by scripts: which errors say something of the other side, which are
 //! waited for, and that interrupted, short and momentarily refused calls change nothing of what goes over a connection.
 
-use indigohold::net::conn::{self, Wire};
-use indigohold::net::errors::{accept_fault, fault_of, is_local, timed_out, AcceptFault, Fault};
+use indigohold::net::conn::{self, SocketStream};
+use indigohold::net::errors::{accept_fault, fault_of, is_local, is_timeout, AcceptFault, Fault};
 use indigohold::net::transfer::{receive, send, Received, Sent};
 use rustix::io::Errno;
 use std::cell::RefCell;
@@ -55,18 +55,18 @@
             assert_eq!(is_local(&error(errno)), local, "{errno:?}");
         }
     }
-    assert!(timed_out(&ErrorKind::TimedOut.into()), "a deadline of ours");
-    assert!(!timed_out(&error(Errno::TIMEDOUT)), "a connection that broke");
+    assert!(is_timeout(&ErrorKind::TimedOut.into()), "a deadline of ours");
+    assert!(!is_timeout(&error(Errno::TIMEDOUT)), "a connection that broke");
 }
 
 #[test]
 fn accept_sheds_nobody_for_what_its_process_has_enough_of() {
     let table = [
-        (AcceptFault::Nobody, vec![Errno::AGAIN]),
+        (AcceptFault::QueueEmpty, vec![Errno::AGAIN]),
         (AcceptFault::NoDescriptor, vec![Errno::MFILE]),
-        (AcceptFault::Later, vec![Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::IO]),
+        (AcceptFault::Local, vec![Errno::NFILE, Errno::NOBUFS, Errno::NOMEM, Errno::IO]),
         (
-            AcceptFault::Next,
+            AcceptFault::ConnectionLost,
             vec![
                 Errno::INTR,
                 Errno::CONNABORTED,
@@ -92,7 +92,7 @@
 /// Dials by a script; the last step is repeated.
 fn dial(script: &[Result<(), Errno>], until: Instant) -> (io::Result<()>, usize) {
     let mut dials = 0;
-    let connected = conn::connect_by(until, |left| {
+    let connected = conn::connect_with(until, |left| {
         assert!(left > Duration::ZERO);
         let step = script[dials.min(script.len() - 1)];
         dials += 1;
@@ -154,7 +154,7 @@
     }
 }
 
-impl Wire for Scripted {
+impl SocketStream for Scripted {
     fn set_read_timeout(&self, span: Option<Duration>) -> io::Result<()> {
         assert!(span.is_some_and(|span| span > Duration::ZERO));
         Ok(())
@@ -184,7 +184,7 @@
 
 impl Write for &Scripted {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        Wire::send(*self, bytes)
+        SocketStream::send(*self, bytes)
     }
     fn flush(&mut self) -> io::Result<()> {
         Ok(())
@@ -229,7 +229,7 @@
         assert!(wire.sent.borrow().len() < b"a whole request".len(), "its last byte was not written");
     }
     let past = Instant::now();
-    assert!(timed_out(&conn::write_all(&Scripted::new(&[], b""), b"late", past).unwrap_err()));
+    assert!(is_timeout(&conn::write_all(&Scripted::new(&[], b""), b"late", past).unwrap_err()));
     // What this machine lacks for long ends as its own want, not as the other side's.
     let wire = Scripted::new(&[Step::Fails(Errno::NOBUFS); 500], b"");
     assert!(is_local(&conn::write_all(&wire, b"x", until).unwrap_err()));
@@ -239,29 +239,29 @@
 fn reads_that_do_not_wait_say_what_came_of_them() {
     let cases = [
         (Step::Some(3), Received::Bytes(3)),
-        (Step::Fails(Errno::AGAIN), Received::Nothing),
-        (Step::Fails(Errno::NOMEM), Received::Later),
-        (Step::Fails(Errno::NOBUFS), Received::Later),
-        (Step::Fails(Errno::CONNRESET), Received::Broke),
-        (Step::Fails(Errno::TIMEDOUT), Received::Broke),
-        (Step::Fails(Errno::HOSTUNREACH), Received::Broke),
+        (Step::Fails(Errno::AGAIN), Received::WouldBlock),
+        (Step::Fails(Errno::NOMEM), Received::LocalFault),
+        (Step::Fails(Errno::NOBUFS), Received::LocalFault),
+        (Step::Fails(Errno::CONNRESET), Received::Broken),
+        (Step::Fails(Errno::TIMEDOUT), Received::Broken),
+        (Step::Fails(Errno::HOSTUNREACH), Received::Broken),
     ];
     for (step, received) in cases {
         let wire = Scripted::new(&[Step::Fails(Errno::INTR), step], b"abcdef");
         assert_eq!(receive(&mut &wire, &mut [0; 16]), received, "{step:?}");
     }
-    assert_eq!(receive(&mut &Scripted::new(&[], b""), &mut [0; 16]), Received::Ended);
+    assert_eq!(receive(&mut &Scripted::new(&[], b""), &mut [0; 16]), Received::EndOfStream);
 }
 
 #[test]
 fn writes_that_do_not_wait_say_how_far_they_came() {
     let cases = [
-        (Step::Fails(Errno::AGAIN), Sent::Full),
-        (Step::Fails(Errno::NOBUFS), Sent::Later),
-        (Step::Fails(Errno::NOMEM), Sent::Later),
-        (Step::Fails(Errno::PIPE), Sent::Broke),
-        (Step::Fails(Errno::TIMEDOUT), Sent::Broke),
-        (Step::Some(0), Sent::Broke),
+        (Step::Fails(Errno::AGAIN), Sent::WouldBlock),
+        (Step::Fails(Errno::NOBUFS), Sent::LocalFault),
+        (Step::Fails(Errno::NOMEM), Sent::LocalFault),
+        (Step::Fails(Errno::PIPE), Sent::Broken),
+        (Step::Fails(Errno::TIMEDOUT), Sent::Broken),
+        (Step::Some(0), Sent::Broken),
     ];
     for (step, sent) in cases {
         let wire = Scripted::new(&[Step::Some(2), Step::Fails(Errno::INTR), Step::Some(1), step], b"");
