--- a/tests/ask_fleet.rs
+++ b/tests/ask_fleet.rs
@@ -16,7 +16,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use support::crowd::{connect, send, Seen};
+use support::crowd::{connect, submit, Response};
 use support::*;
 
 const MS: u64 = 1_000;
@@ -232,7 +232,7 @@
         let (mut stream, mut taken, mut longest) = (connect(addr), 0, Duration::ZERO);
         while !ended.load(Ordering::SeqCst) {
             let began = std::time::Instant::now();
-            assert_eq!(send(&mut stream, &format!("t{taken}")), Seen::Status(202));
+            assert_eq!(submit(&mut stream, &format!("t{taken}")), Response::Status(202));
             longest = longest.max(began.elapsed());
             taken += 1;
             thread::sleep(Duration::from_millis(5));
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -127,7 +127,7 @@
 #[test]
 fn stored_deadlines_and_windows_survive_a_wall_clock_step() {
     for step in STEPS_S {
-        let site = site(256, 64);
+        let site = environment(256, 64);
         let dir = site.folder.0.join("state");
         let now = write_earlier_anchor(&dir, step);
         let mut journal = Journal::open(&dir, 3_000_000, now).unwrap();
--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -59,14 +59,14 @@
 fn a_retry_after_wait_stays_in_force_across_restarts() {
     let fleet: Vec<_> = (0..4)
         .map(|_| {
-            let (mut site, log) = (site(256, 64), Arc::<Mutex<PartnerLog>>::default());
-            site.list(&[instance("s-0", start_partner(&log), 3, "up").replace("50.0", "50000.0")]);
+            let (mut site, log) = (environment(256, 64), Arc::<Mutex<PartnerLog>>::default());
+            site.set_endpoints(&[instance("s-0", start_partner(&log), 3, "up").replace("50.0", "50000.0")]);
             (site, log)
         })
         .collect();
     let mut programs: Vec<_> = fleet.iter().map(|(site, _)| site.start()).collect();
     for (_, addr) in &programs {
-        assert_eq!(send(&mut connect(*addr), "m0"), Seen::Status(202));
+        assert_eq!(submit(&mut connect(*addr), "m0"), Response::Status(202));
     }
     for (n, (_, log)) in fleet.iter().enumerate() {
         until(&format!("the wait of courier {n}"), || log.lock().unwrap().wait_demanded_at.is_some());
@@ -85,7 +85,7 @@
     for (n, (_, addr)) in recovered.iter().enumerate() {
         let demanded_at = fleet[n].1.lock().unwrap().wait_demanded_at.unwrap();
         assert!(demanded_at.elapsed() < RETRY_AFTER, "this machine was too slow: the wait has ended");
-        assert_eq!(send(&mut connect(*addr), "m1"), Seen::Status(202));
+        assert_eq!(submit(&mut connect(*addr), "m1"), Response::Status(202));
     }
     for (n, (_, log)) in fleet.iter().enumerate() {
         until(&format!("both deliveries of courier {n}"), || log.lock().unwrap().calls.len() >= 3);
@@ -105,21 +105,21 @@
 /// and one whose state folder was deleted, have no stored demand and send at once. All messages are delivered.
 #[test]
 fn recovered_couriers_limit_their_send_rate_by_the_demand_of_the_previous_run() {
-    let mut fleet: Vec<Site> = (0..6).map(|_| site(256, 64)).collect();
+    let mut fleet: Vec<Environment> = (0..6).map(|_| environment(256, 64)).collect();
     let partner = fleet[0].endpoint.addr;
     for site in &mut fleet {
-        site.list(&[instance("s-0", partner, 3, "up")]);
+        site.set_endpoints(&[instance("s-0", partner, 3, "up")]);
         // No endpoint reports a limit.
         site.config["settings"]["weights"] = "off".into();
         site.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
     }
-    let mut programs: Vec<_> = fleet.iter().map(Site::start).collect();
+    let mut programs: Vec<_> = fleet.iter().map(Environment::start).collect();
     let mut clients: Vec<_> = programs.iter().map(|(_, addr)| connect(*addr)).collect();
     let began = Instant::now();
     for n in 0..20 {
         thread::sleep((began + n * Duration::from_millis(200)).saturating_duration_since(Instant::now()));
         for (courier, client) in clients.iter_mut().enumerate() {
-            assert_eq!(send(client, &format!("a{courier}-{n}")), Seen::Status(202));
+            assert_eq!(submit(client, &format!("a{courier}-{n}")), Response::Status(202));
         }
     }
     let delivered = |prefix: &str| {
@@ -130,13 +130,13 @@
     thread::sleep(Duration::from_millis(1200));
     programs.drain(1..).for_each(|(program, _)| program.kill());
     std::fs::remove_dir_all(fleet[5].folder.0.join("state")).unwrap();
-    let recovered: Vec<_> = fleet[1..].iter().map(Site::start).collect();
+    let recovered: Vec<_> = fleet[1..].iter().map(Environment::start).collect();
     let addrs: Vec<SocketAddr> = programs.iter().chain(&recovered).map(|(_, addr)| *addr).collect();
     let submitted_at = Instant::now();
     for (courier, addr) in addrs.iter().enumerate() {
         let mut client = connect(*addr);
         for n in 0..30 {
-            assert_eq!(send(&mut client, &format!("b{courier}-{n}")), Seen::Status(202));
+            assert_eq!(submit(&mut client, &format!("b{courier}-{n}")), Response::Status(202));
         }
     }
     let delivered_by = |courier: usize| delivered(&format!("b{courier}-"));
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -34,14 +34,14 @@
 
     fn hand_in(&mut self, id: &str) -> u16 {
         if let Some(stream) = &mut self.stream {
-            match send(stream, id) {
-                Seen::Status(status) => return status,
-                Seen::Nothing => self.again += 1,
-                Seen::Cut => panic!("{id}: an answer was cut off"),
+            match submit(stream, id) {
+                Response::Status(status) => return status,
+                Response::Closed => self.again += 1,
+                Response::Truncated => panic!("{id}: an answer was cut off"),
             }
         }
         let mut stream = connect(self.addr);
-        let Seen::Status(status) = send(&mut stream, id) else {
+        let Response::Status(status) = submit(&mut stream, id) else {
             panic!("{id}: no answer on a new connection")
         };
         self.stream = Some(stream);
@@ -53,7 +53,7 @@
 #[test]
 fn the_silent_do_not_keep_others_out() {
     for word in ["", "POST /api HT", "POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf"] {
-        let site = site(SOCKETS, 64);
+        let site = environment(SOCKETS, 64);
         let (_program, addr) = site.start();
         let mut clients: Vec<Steady> = (0..4).map(|_| Steady::new(addr)).collect();
         let mut silent = Vec::new();
@@ -73,8 +73,8 @@
         until("deliveries", || site.delivered().len() == CROWD / 5);
         // Each of them sees an end, those that began a request in clear words or by a close.
         for mut stream in silent {
-            let seen = answer(&mut stream);
-            assert!(matches!(seen, Seen::Nothing | Seen::Status(408)), "{word:?}: {seen:?}");
+            let seen = read_response(&mut stream);
+            assert!(matches!(seen, Response::Closed | Response::Status(408)), "{word:?}: {seen:?}");
         }
     }
 }
@@ -82,21 +82,21 @@
 /// Three times as many as there are places ask once and stay: all are answered.
 #[test]
 fn those_that_ask_once_and_stay_are_all_answered() {
-    let site = site(SOCKETS, 64);
+    let site = environment(SOCKETS, 64);
     site.folder.write("channel.json", r#"{"socket": "run/control.sock"}"#);
     let (program, addr) = site.start();
     let mut steady = Steady::new(addr);
     let mut stay = Vec::new();
     for n in 0..CROWD {
         let mut stream = connect(addr);
-        stream.write_all(api(&format!("m{n}")).as_bytes()).unwrap();
+        stream.write_all(request_text(&format!("m{n}")).as_bytes()).unwrap();
         stay.push(stream);
         // A client that asks more than once keeps its session while those that asked once make room.
         assert_eq!(steady.hand_in(&format!("s{n}")), 202);
     }
     assert_eq!(steady.again, 0, "its session was closed for others");
     for (n, stream) in stay.iter_mut().enumerate() {
-        assert_eq!(answer(stream), Seen::Status(202), "m{n}");
+        assert_eq!(read_response(stream), Response::Status(202), "m{n}");
     }
     until("deliveries", || site.delivered().len() == 2 * CROWD);
     assert!(site.delivered().values().all(|n| *n == 1));
@@ -114,21 +114,21 @@
     assert!(child.child.wait().unwrap().success());
     assert!(begun.elapsed() < Duration::from_millis(3_700), "{:?}", begun.elapsed());
     for stream in &mut stay {
-        assert_eq!(answer(stream), Seen::Nothing);
+        assert_eq!(read_response(stream), Response::Closed);
     }
 }
 
 /// A connection for each request, 600 in two seconds, each left open.
 #[test]
 fn a_connection_for_each_request() {
-    let site = site(SOCKETS, 64);
+    let site = environment(SOCKETS, 64);
     let (_program, addr) = site.start();
     let mut open = Vec::new();
     let begun = Instant::now();
     for n in 0..600u32 {
         thread::sleep((begun + n * Duration::from_micros(3_333)).saturating_duration_since(Instant::now()));
         let mut stream = connect(addr);
-        assert_eq!(send(&mut stream, &format!("m{n}")), Seen::Status(202));
+        assert_eq!(submit(&mut stream, &format!("m{n}")), Response::Status(202));
         open.push(stream);
         if open.len() > CROWD {
             open.remove(0);
@@ -140,10 +140,10 @@
 /// A byte each 50 ms on more connections than there are places: each is cut off in time, and others are served.
 #[test]
 fn a_trickle_on_every_place() {
-    let site = site(SOCKETS, 64);
+    let site = environment(SOCKETS, 64);
     let (_program, addr) = site.start();
     let stop = Arc::new(AtomicBool::new(false));
-    let (stopped, text) = (stop.clone(), api("never"));
+    let (stopped, text) = (stop.clone(), request_text("never"));
     let trickle = thread::spawn(move || {
         let mut open: Vec<(TcpStream, usize)> = (0..SOCKETS).map(|_| (connect(addr), 0)).collect();
         let mut cut = 0;
@@ -161,7 +161,7 @@
     });
     for n in 0..60 {
         let mut stream = connect(addr);
-        assert_eq!(send(&mut stream, &format!("m{n}")), Seen::Status(202), "m{n}");
+        assert_eq!(submit(&mut stream, &format!("m{n}")), Response::Status(202), "m{n}");
         thread::sleep(Duration::from_millis(20));
     }
     stop.store(true, Ordering::SeqCst);
@@ -176,7 +176,7 @@
 /// its partner drops: that is not a message taken twice. What was taken is what the courier itself has ended.
 #[test]
 fn a_request_that_crosses_its_session_s_end_is_not_lost() {
-    let site = site(64, 64);
+    let site = environment(64, 64);
     let mut command = Command::new(env!("CARGO_BIN_EXE_indigohold"));
     surroundings(&mut command, &site.folder.0, &site.config.to_string());
     command.env("NODE_CONTROL", "127.0.0.1:0");
@@ -227,7 +227,7 @@
 /// The process may open fewer descriptors than it was told of: those that idle make room, and all are answered.
 #[test]
 fn with_no_descriptor_left_it_goes_on() {
-    let site = site(256, 64);
+    let site = environment(256, 64);
     let mut command = Command::new("sh");
     command.args(["-c", "ulimit -n 48; exec \"$0\"", env!("CARGO_BIN_EXE_indigohold")]);
     surroundings(&mut command, &site.folder.0, &site.config.to_string());
@@ -236,11 +236,11 @@
     let mut stay = Vec::new();
     for n in 0..CROWD {
         let mut stream = connect(addr);
-        stream.write_all(api(&format!("m{n}")).as_bytes()).unwrap();
+        stream.write_all(request_text(&format!("m{n}")).as_bytes()).unwrap();
         stay.push(stream);
     }
     for (n, stream) in stay.iter_mut().enumerate() {
-        assert_eq!(answer(stream), Seen::Status(202), "m{n}");
+        assert_eq!(read_response(stream), Response::Status(202), "m{n}");
     }
     until("deliveries", || site.delivered().len() == CROWD);
     assert!(program.child.try_wait().unwrap().is_none(), "it ended");
@@ -258,7 +258,7 @@
 /// From its answer to its delivery; `None`: its session had made room for something else before it asked, or the descriptors
 /// were never all held.
 fn first_call_without_descriptor() -> Option<Duration> {
-    let site = site(256, 64);
+    let site = environment(256, 64);
     let mut command = Command::new("sh");
     command.args(["-c", "ulimit -n 40; exec \"$0\"", env!("CARGO_BIN_EXE_indigohold")]);
     surroundings(&mut command, &site.folder.0, &site.config.to_string());
@@ -283,7 +283,7 @@
     }
     // The youngest makes room last.
     let last = sessions.last_mut().unwrap();
-    if send(last, "m0") != Seen::Status(202) {
+    if submit(last, "m0") != Response::Status(202) {
         return None;
     }
     let begun = Instant::now();
@@ -294,7 +294,7 @@
 /// SIGKILL and a new start under a crowd of every kind: clients that mean it are served at once, and nothing is lost.
 #[test]
 fn a_restart_under_a_crowd() {
-    let mut site = site(SOCKETS, 64);
+    let mut site = environment(SOCKETS, 64);
     let port = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().port();
     site.config["listen"] = format!("127.0.0.1:{port}").into();
     let (program, addr) = site.start();
@@ -309,7 +309,7 @@
                         return;
                     }
                     if let Ok(mut stream) = TcpStream::connect(addr) {
-                        let text = api(&format!("crowd{n}"));
+                        let text = request_text(&format!("crowd{n}"));
                         let part = [0, 20, text.len()][kind];
                         let _ = stream.write_all(&text.as_bytes()[..part]);
                         open.push(stream);
--- a/tests/door.rs
+++ b/tests/door.rs
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::crowd::{connect, send, site, Seen, Site};
+use support::crowd::{connect, environment, submit, Environment, Response};
 use support::*;
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-fn opened(sockets: usize) -> (Site, Program, SocketAddr, SocketAddr) {
-    let mut site = site(sockets, 64);
+fn opened(sockets: usize) -> (Environment, Program, SocketAddr, SocketAddr) {
+    let mut site = environment(sockets, 64);
     site.config["control"] = "127.0.0.1:0".into();
     let (mut program, addr) = site.start();
     let door = program.addr("door");
@@ -92,7 +92,10 @@
                     if over.load(Ordering::SeqCst) {
                         break;
                     }
-                    if matches!(send(&mut stream, &format!("c{c}-{n}")), Seen::Nothing | Seen::Cut) {
+                    if matches!(
+                        submit(&mut stream, &format!("c{c}-{n}")),
+                        Response::Closed | Response::Truncated
+                    ) {
                         stream = connect(addr);
                     }
                 }
@@ -126,20 +129,22 @@
     let shut = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
     let failing = endpoint(move |_, _| Act::Answer(shut));
     let entries = [instance("s-0", site.endpoint.addr, 3, "up"), instance("s-1", failing.addr, 4, "up")];
-    site.list(&entries);
+    site.set_endpoints(&entries);
     site.config["settings"] = settings(1_000);
     site.config["settings"]["limits"]["maxOpen"] = 4_000.into();
     let (mut program, addr) = site.start();
     let door = program.addr("door");
     let mut stream = connect(addr);
     for n in 0..50 {
-        assert_eq!(send(&mut stream, &format!("d{n}")), Seen::Status(202));
+        assert_eq!(submit(&mut stream, &format!("d{n}")), Response::Status(202));
     }
     for n in 0..6 {
-        let text = support::crowd::api(&format!("f{n}")).replace("dest=3", "dest=4").replace("20000", "1000");
+        let text = support::crowd::request_text(&format!("f{n}"))
+            .replace("dest=3", "dest=4")
+            .replace("20000", "1000");
         assert_eq!(ask(addr, text.as_bytes()).status(), 202);
     }
-    let text = support::crowd::api("nowhere").replace("dest=3", "dest=9");
+    let text = support::crowd::request_text("nowhere").replace("dest=3", "dest=9");
     assert_eq!(ask(addr, text.as_bytes()).status(), 404);
     until("all have ended", || {
         let figures = figures(door);
@@ -168,7 +173,7 @@
     drop(program);
     let other = endpoint(|_, _| Act::Answer(OK));
     let entries = [instance("s-0", site.endpoint.addr, 3, "up"), instance("s-1", other.addr, 3, "up")];
-    site.list(&entries);
+    site.set_endpoints(&entries);
     let (mut program, mut addr) = site.start();
     let mut door = program.addr("door");
     assert!(call(door, b"exclude s-9\n").starts_with("400 "), "it was never listed");
@@ -180,7 +185,7 @@
     let hand_in = |addr: SocketAddr, what: &str| {
         let mut stream = connect(addr);
         for n in 0..10 {
-            assert_eq!(send(&mut stream, &format!("{what}-{n}")), Seen::Status(202));
+            assert_eq!(submit(&mut stream, &format!("{what}-{n}")), Response::Status(202));
         }
         until(what, || (0..10).all(|n| other.count(&format!("{what}-{n}")) == 1));
     };
@@ -218,7 +223,7 @@
     until("it is used again", || {
         let mut stream = connect(addr);
         let id = format!("back-{}", Instant::now().elapsed().as_nanos());
-        send(&mut stream, &id);
+        submit(&mut stream, &id);
         site.endpoint.calls.lock().unwrap().len() > before
     });
 }
@@ -236,7 +241,7 @@
 
 #[test]
 fn a_control_that_is_no_address_or_is_taken_is_one_line_and_exit_code_1() {
-    let site = site(256, 64);
+    let site = environment(256, 64);
     let taken = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     for control in ["here", &taken.local_addr().unwrap().to_string()] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_indigohold"));
--- a/tests/earlier_calls.rs
+++ b/tests/earlier_calls.rs
@@ -29,10 +29,10 @@
     }
 }
 
-fn create_sites(addr: SocketAddr) -> Vec<Site> {
+fn create_sites(addr: SocketAddr) -> Vec<Environment> {
     let create_site = |_| {
-        let mut site = site(256, 64);
-        site.list(&[instance("s-3", addr, 3, "up").replace("50.0", "0.0")]);
+        let mut site = environment(256, 64);
+        site.set_endpoints(&[instance("s-3", addr, 3, "up").replace("50.0", "0.0")]);
         site.config["settings"]["weights"] = "off".into();
         site.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
         site.config["settings"]["profiles"][0]["repeatWindow"] = 6_000_000.into();
@@ -41,8 +41,8 @@
     (0..COURIER_COUNT).map(create_site).collect()
 }
 
-fn start_all(sites: &[Site]) -> Vec<(Program, SocketAddr)> {
-    sites.iter().map(Site::start).collect()
+fn start_all(sites: &[Environment]) -> Vec<(Program, SocketAddr)> {
+    sites.iter().map(Environment::start).collect()
 }
 
 fn kill_all(programs: Vec<(Program, SocketAddr)>) {
@@ -126,7 +126,7 @@
     let first = start_all(&sites);
     let started = Instant::now();
     for (i, (_, courier_addr)) in first.iter().enumerate() {
-        assert_eq!(ask(*courier_addr, api(&format!("m{i}")).as_bytes()).status(), 202);
+        assert_eq!(ask(*courier_addr, request_text(&format!("m{i}")).as_bytes()).status(), 202);
     }
     until("the first calls", || (0..COURIER_COUNT).all(|i| partner.count(&format!("m{i}")) == 1));
     kill_all(first);
--- a/tests/full_disk.rs
+++ b/tests/full_disk.rs
@@ -10,14 +10,15 @@
 /// A message of some size; the folder's first segment holds some thirty of them.
 fn hand_in(addr: std::net::SocketAddr, id: &str) -> u16 {
     let body = "x".repeat(2_000);
-    let text = api(id).replace("Content-Length: 1\r\n\r\nx", &format!("Content-Length: 2000\r\n\r\n{body}"));
+    let text = request_text(id)
+        .replace("Content-Length: 1\r\n\r\nx", &format!("Content-Length: 2000\r\n\r\n{body}"));
     ask(addr, text.as_bytes()).status()
 }
 
 /// Guards against a process that ends, or takes on what it can't write down, when its disk is full.
 #[test]
 fn while_the_disk_is_full_it_sheds_and_then_goes_on() {
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     site.config["limits"]["disk_mb"] = 1.into();
     let (mut program, addr) = site.start();
     let full = site.folder.0.join("state/00000002.log");
@@ -52,7 +53,7 @@
 
 #[test]
 fn a_claim_that_can_not_be_written_is_a_claim() {
-    let site = site(256, 64);
+    let site = environment(256, 64);
     symlink("/dev/full", site.folder.0.join("state/owner")).unwrap();
     let (_program, addr) = site.start();
     assert_eq!(hand_in(addr, "m0"), 202);
--- a/tests/history_backlog.rs
+++ b/tests/history_backlog.rs
@@ -20,7 +20,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Instant;
-use support::crowd::{connect, send, site, Seen};
+use support::crowd::{connect, environment, submit, Response};
 use support::*;
 
 const POLICY: &str = r#"{"enabled": true, "disk_kb": 8192, "skew_s": 0, "policies": [{"keep_s": 100000}]}"#;
@@ -233,7 +233,7 @@
 /// Files may not grow past 1,100 KiB for this process, which is what a full disk looks like to the history alone.
 #[test]
 fn a_full_disk_costs_history_and_no_traffic() {
-    let site = site(256, 64);
+    let site = environment(256, 64);
     site.folder.write("history.json", POLICY);
     let mut command = Command::new("sh");
     surroundings(&mut command, &site.folder.0, &site.config.to_string());
@@ -245,7 +245,7 @@
     let mut taken = BTreeSet::new();
     for n in 0..1_500 {
         let id = format!("f{n}");
-        if send(&mut stream, &id) == Seen::Status(202) {
+        if submit(&mut stream, &id) == Response::Status(202) {
             taken.insert(id);
         }
     }
--- a/tests/history_ends.rs
+++ b/tests/history_ends.rs
@@ -25,7 +25,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::Duration;
-use support::crowd::{connect, send, site, Seen, Site};
+use support::crowd::{connect, environment, submit, Environment, Response};
 use support::*;
 
 const POLICY: &str =
@@ -215,8 +215,8 @@
 }
 
 /// A program's folder with its history on.
-fn kept_site() -> Site {
-    let site = site(256, 64);
+fn kept_site() -> Environment {
+    let site = environment(256, 64);
     site.folder.write("history.json", POLICY);
     site
 }
@@ -233,10 +233,10 @@
                     break;
                 }
                 let id = format!("l{life}-{c}-{n}");
-                match send(&mut stream, &id) {
-                    Seen::Status(202) => taken.push(id),
-                    Seen::Status(_) => thread::sleep(Duration::from_millis(5)),
-                    Seen::Nothing | Seen::Cut => break,
+                match submit(&mut stream, &id) {
+                    Response::Status(202) => taken.push(id),
+                    Response::Status(_) => thread::sleep(Duration::from_millis(5)),
+                    Response::Closed | Response::Truncated => break,
                 }
             }
             taken
@@ -246,7 +246,7 @@
 }
 
 /// Ids in the journal and in the history of a folder that nobody owns, as the next life finds them in a copy of it.
-fn looked_at(site: &Site) -> (BTreeSet<String>, BTreeSet<String>, usize) {
+fn looked_at(site: &Environment) -> (BTreeSet<String>, BTreeSet<String>, usize) {
     let copy = Folder::new();
     for file in fs::read_dir(site.folder.0.join("state")).unwrap().map_while(Result::ok) {
         if file.file_type().unwrap().is_file() {
@@ -263,7 +263,7 @@
 }
 
 /// What is kept once all of these have been delivered and the process has ended by itself.
-fn at_the_end(site: &Site, mut program: Program, taken: &BTreeSet<String>) -> BTreeSet<String> {
+fn at_the_end(site: &Environment, mut program: Program, taken: &BTreeSet<String>) -> BTreeSet<String> {
     until("everything is delivered", || {
         let there = site.delivered();
         taken.iter().all(|id| there.contains_key(id))
@@ -341,9 +341,9 @@
 
 #[test]
 fn off_there_is_no_file_and_one_that_leaves_the_journal_no_room_is_refused() {
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     let (program, addr) = site.start();
-    assert_eq!(send(&mut connect(addr), "a"), Seen::Status(202));
+    assert_eq!(submit(&mut connect(addr), "a"), Response::Status(202));
     until("it is delivered", || site.endpoint.count("a") == 1);
     program.kill();
     assert!(!site.folder.0.join("state/history.redb").exists());
@@ -369,6 +369,6 @@
     site.config["limits"]["disk_mb"] = 64.into();
     let (mut program, addr) = site.start();
     program.line_with("history is closed, what ends is not kept");
-    assert_eq!(send(&mut connect(addr), "a"), Seen::Status(202));
+    assert_eq!(submit(&mut connect(addr), "a"), Response::Status(202));
     until("it is delivered", || site.endpoint.count("a") == 1);
 }
--- a/tests/history_fleet.rs
+++ b/tests/history_fleet.rs
@@ -8,7 +8,7 @@
 use indigohold_relay::Faults;
 use std::fs;
 use std::process::Command;
-use support::crowd::{api, connect, Seen};
+use support::crowd::{connect, request_text, Response};
 use support::fleet::{within, Fleet};
 use support::*;
 
@@ -39,8 +39,8 @@
     let addr = fleet.programs[i].as_mut().unwrap().0.addr("platform");
     let mut stream = connect(addr);
     for n in ids {
-        std::io::Write::write_all(&mut stream, api(&format!("c{i}-{n}")).as_bytes()).unwrap();
-        assert_eq!(crowd::answer(&mut stream), Seen::Status(202));
+        std::io::Write::write_all(&mut stream, request_text(&format!("c{i}-{n}")).as_bytes()).unwrap();
+        assert_eq!(crowd::read_response(&mut stream), Response::Status(202));
     }
 }
 
--- a/tests/lease_wire.rs
+++ b/tests/lease_wire.rs
@@ -69,7 +69,7 @@
                 // A courier that is stopped answers nobody: its client leaves, and comes again.
                 let done = session.take().or_else(|| TcpStream::connect(addr).ok()).and_then(|mut stream| {
                     stream.set_read_timeout(Some(Duration::from_millis(400))).ok()?;
-                    stream.write_all(crowd::api(&format!("f{name}-{n}")).as_bytes()).ok()?;
+                    stream.write_all(crowd::request_text(&format!("f{name}-{n}")).as_bytes()).ok()?;
                     let mut buf = [0; 512];
                     (stream.read(&mut buf).ok()? > 0).then_some(stream)
                 });
--- a/tests/measure_crowds.rs
+++ b/tests/measure_crowds.rs
@@ -28,7 +28,7 @@
 }
 
 impl Running {
-    fn start(program: &str, site: &Site) -> Running {
+    fn start(program: &str, site: &Environment) -> Running {
         let _ = std::fs::remove_dir_all(site.folder.0.join("state"));
         let mut command = Command::new(program);
         surroundings(&mut command, &site.folder.0, &site.config.to_string());
@@ -54,7 +54,7 @@
 }
 
 /// Eight partners that answer at once and only count, in place of the site's own; beside these.
-fn free_partners(site: &mut Site, more: &[String]) -> Arc<AtomicUsize> {
+fn free_partners(site: &mut Environment, more: &[String]) -> Arc<AtomicUsize> {
     let count = Arc::new(AtomicUsize::new(0));
     let entries: Vec<String> = (0..8)
         .map(|n| {
@@ -70,7 +70,7 @@
             instance(&format!("p-{n}"), addr, 3, "up").replace("50.0", "50000.0")
         })
         .collect();
-    site.list(&[&entries, more].concat());
+    site.set_endpoints(&[&entries, more].concat());
     count
 }
 
@@ -103,7 +103,7 @@
     let mut next = 0;
     let mut text = move || {
         next += 1;
-        api(&format!("{name}{next}"))
+        request_text(&format!("{name}{next}"))
     };
     for n in 0..conns {
         let stream = TcpStream::connect(addr).unwrap();
@@ -159,7 +159,7 @@
     );
     for conns in conns_wanted() {
         for (name, program) in builds() {
-            let mut site = site(2_048, 512);
+            let mut site = environment(2_048, 512);
             let delivered = free_partners(&mut site, &[]);
             let running = Running::start(&program, &site);
             let before = running.cpu();
@@ -194,13 +194,13 @@
     println!("build   idle      held   RSS kB  threads  cpu ms in 2 s");
     for conns in [0, 300, 1_000, 10_000] {
         for (name, program) in builds() {
-            let mut site = site(14_000, 2_000);
+            let mut site = environment(14_000, 2_000);
             let delivered = free_partners(&mut site, &[]);
             let running = Running::start(&program, &site);
             let mut open = Vec::new();
             for n in 0..conns {
                 let mut stream = connect(running.addr);
-                assert_eq!(send(&mut stream, &format!("i{n}")), Seen::Status(202));
+                assert_eq!(submit(&mut stream, &format!("i{n}")), Response::Status(202));
                 open.push(stream);
             }
             until("deliveries", || delivered.load(Ordering::SeqCst) >= conns);
@@ -226,17 +226,18 @@
     println!("build    held   a second  cpu us each     p99 us");
     for held in [10, 1_000, 10_000] {
         for (name, program) in builds() {
-            let mut site = site(2_048, 512);
+            let mut site = environment(2_048, 512);
             let silent = endpoint(|_, _| Act::Hang);
             let delivered = free_partners(&mut site, &[instance("s-1", silent.addr, 4, "up")]);
             site.config["settings"]["profiles"][0]["deadline"] = 600_000_000u64.into();
             let running = Running::start(&program, &site);
             let mut stream = connect(running.addr);
             for n in 0..held {
-                let text =
-                    api(&format!("h{n}")).replace("dest=3", "dest=4").replace("Ms: 20000", "Ms: 600000");
+                let text = request_text(&format!("h{n}"))
+                    .replace("dest=3", "dest=4")
+                    .replace("Ms: 20000", "Ms: 600000");
                 stream.write_all(text.as_bytes()).unwrap();
-                assert_eq!(answer(&mut stream), Seen::Status(202));
+                assert_eq!(read_response(&mut stream), Response::Status(202));
             }
             let before = running.cpu();
             let load = closed_loop(running.addr, 8, Duration::from_secs(3), "m");
--- a/tests/measure_replay.rs
+++ b/tests/measure_replay.rs
@@ -13,7 +13,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use support::crowd::{answer, api, connect, Seen};
+use support::crowd::{connect, read_response, request_text, Response};
 use support::fleet::{within, Fleet};
 use support::*;
 
@@ -65,8 +65,8 @@
                     }
                     let id = format!("live-{round}-{i}-{n}");
                     let now = Instant::now();
-                    stream.write_all(api(&id).as_bytes()).unwrap();
-                    assert_eq!(answer(&mut stream), Seen::Status(202));
+                    stream.write_all(request_text(&id).as_bytes()).unwrap();
+                    assert_eq!(read_response(&mut stream), Response::Status(202));
                     begun.lock().unwrap().push((id, now));
                 }
             });
@@ -129,8 +129,8 @@
                 for n in 0..EACH {
                     let stream = &mut streams[n % 4];
                     loop {
-                        stream.write_all(api(&format!("c{i}-{n}")).as_bytes()).unwrap();
-                        if answer(stream) == Seen::Status(202) {
+                        stream.write_all(request_text(&format!("c{i}-{n}")).as_bytes()).unwrap();
+                        if read_response(stream) == Response::Status(202) {
                             break;
                         }
                         thread::sleep(Duration::from_millis(5));
--- a/tests/measure_shared.rs
+++ b/tests/measure_shared.rs
@@ -6,7 +6,7 @@
 use indigohold_relay::Mesh;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
-use support::crowd::{connect, send, site, Seen, Site};
+use support::crowd::{connect, environment, submit, Environment, Response};
 use support::fleet::*;
 use support::links::sent;
 use support::*;
@@ -72,7 +72,7 @@
 fn traffic_with_and_without() {
     let make = |on: bool| {
         let mesh = Mesh::new(2, 5).unwrap();
-        let mut site = site(512, 192);
+        let mut site = environment(512, 192);
         let place = &mesh.places()[0];
         let peers: Vec<String> = place.peers.iter().map(ToString::to_string).collect();
         site.config["settings"]["limits"]["peers"] = true.into();
@@ -86,7 +86,7 @@
     };
     let (on, off) = (make(true), make(false));
     let speaker = Speaker::new(&on.0);
-    let run = |(_, _, program, addr): &(Mesh, Site, Program, SocketAddr), round: usize| {
+    let run = |(_, _, program, addr): &(Mesh, Environment, Program, SocketAddr), round: usize| {
         let mut stream = connect(*addr);
         let (mut took, mut taken) = (Histogram::<u64>::new(3).unwrap(), 0);
         let (before, start) = (ticks(program), Instant::now());
@@ -94,7 +94,7 @@
             let at = start + Duration::from_millis(2) * n;
             std::thread::sleep(at.saturating_duration_since(Instant::now()));
             let since = Instant::now();
-            taken += u64::from(send(&mut stream, &format!("r{round}-{n}")) == Seen::Status(202));
+            taken += u64::from(submit(&mut stream, &format!("r{round}-{n}")) == Response::Status(202));
             took.record(since.elapsed().as_micros() as u64).unwrap();
         }
         (ticks(program) - before, taken, took)
--- a/tests/owner.rs
+++ b/tests/owner.rs
@@ -8,10 +8,10 @@
 
 #[test]
 fn a_second_process_is_refused_and_harms_nothing() {
-    let site = site(256, 48);
+    let site = environment(256, 48);
     let (program, addr) = site.start();
     let mut stream = connect(addr);
-    assert_eq!(send(&mut stream, "before"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "before"), Response::Status(202));
     let mut second = Command::new(env!("CARGO_BIN_EXE_indigohold"));
     surroundings(&mut second, &site.folder.0, &site.config.to_string());
     let output = second.output().unwrap();
@@ -22,7 +22,7 @@
         said.contains("NODE_STATE") && said.contains(&owner) && said.contains("(incarnation 1)"),
         "{said}"
     );
-    assert_eq!(send(&mut stream, "after"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "after"), Response::Status(202));
     until("both are delivered", || site.delivered().len() == 2);
     program.kill();
     // Nothing is left to clean up after SIGKILL.
@@ -35,12 +35,12 @@
 /// client hears of it.
 #[test]
 fn an_order_whose_call_is_in_a_damaged_record_is_not_sent_again() {
-    let mut site = site(256, 48);
+    let mut site = environment(256, 48);
     let hangs = endpoint(|_, _| Act::Hang);
-    site.list(&[instance("s-1", hangs.addr, 3, "up")]);
+    site.set_endpoints(&[instance("s-1", hangs.addr, 3, "up")]);
     let (program, addr) = site.start();
     let mut stream = connect(addr);
-    assert_eq!(send(&mut stream, "order"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "order"), Response::Status(202));
     until("it is out", || hangs.calls.lock().unwrap().len() == 1);
     program.kill();
     let journal = site.folder.0.join("state/00000001.log");
--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -102,18 +102,18 @@
 /// an answer that calls itself the last with other requests read behind it: those would have none.
 #[test]
 fn requests_in_a_row_at_the_end_of_a_process_are_all_answered() {
-    let site = site(256, 64);
+    let site = environment(256, 64);
     let (program, addr) = site.start();
     let mut row = connect(addr);
     let resting = connect(addr);
     let warm = |stream: &TcpStream, id: &str| {
-        (&mut &*stream).write_all(api(id).as_bytes()).unwrap();
+        (&mut &*stream).write_all(request_text(id).as_bytes()).unwrap();
         assert_eq!(next_status(&mut BufReader::new(stream.try_clone().unwrap())).0, 202);
     };
     warm(&row, "w0");
     warm(&resting, "w1");
     // Half a request, so that the connection is none that rests.
-    let begun = api("m0");
+    let begun = request_text("m0");
     let (head, tail) = begun.split_at(30);
     program.signal("TERM");
     // Not so early that it is given up as half before the resting ones are closed, 3.1 s after the signal.
@@ -121,7 +121,7 @@
     row.write_all(head.as_bytes()).unwrap();
     let mut rest = BufReader::new(resting);
     assert!(rest.fill_buf().is_ok_and(<[u8]>::is_empty), "the resting one is closed, with no word");
-    row.write_all(format!("{tail}{}{}", api("m1"), api("m2")).as_bytes()).unwrap();
+    row.write_all(format!("{tail}{}{}", request_text("m1"), request_text("m2")).as_bytes()).unwrap();
     let mut reader = BufReader::new(row);
     let answers: Vec<(u16, bool)> = (0..3).map(|_| next_status(&mut reader)).collect();
     assert!(answers.iter().all(|(status, _)| matches!(status, 202 | 503)), "{answers:?}");
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -13,17 +13,17 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use support::crowd::{answer, api, connect, site, Seen, Site};
+use support::crowd::{connect, environment, read_response, request_text, Environment, Response};
 use support::*;
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 /// One courier with a history and the control channel, and a partner that does this.
-fn replaying(per_s: u32, act: impl Fn(&str, usize) -> Act + Send + Sync + 'static) -> Site {
-    let mut site = site(256, 64);
+fn replaying(per_s: u32, act: impl Fn(&str, usize) -> Act + Send + Sync + 'static) -> Environment {
+    let mut site = environment(256, 64);
     site.endpoint = endpoint(act);
     let line = instance("s-0", site.endpoint.addr, 3, "up").replace("50.0", "50000.0");
-    site.list(&[line]);
+    site.set_endpoints(&[line]);
     let file = serde_json::json!({
         "enabled": true, "disk_kb": 4096, "replay": {"per_s": per_s, "again_after_s": 60},
         "policies": [{"tenant": "tallowood", "keep_s": 6000, "replay": true, "replays": 2}]
@@ -33,7 +33,7 @@
     site
 }
 
-fn client(site: &Site) -> Client {
+fn client(site: &Environment) -> Client {
     Client::new(&site.folder.0.join("run/control.sock"))
 }
 
@@ -49,18 +49,18 @@
 fn hand_in(addr: SocketAddr, ids: impl Iterator<Item = String>) -> usize {
     let (mut stream, mut many) = (connect(addr), 0);
     for id in ids {
-        stream.write_all(api(&id).as_bytes()).unwrap();
-        assert_eq!(answer(&mut stream), Seen::Status(202));
+        stream.write_all(request_text(&id).as_bytes()).unwrap();
+        assert_eq!(read_response(&mut stream), Response::Status(202));
         many += 1;
     }
     many
 }
 
-fn kept(site: &Site, many: usize) {
+fn kept(site: &Environment, many: usize) {
     until("all have ended and are kept", || client(site).retention().unwrap().kept as usize >= many);
 }
 
-fn over(site: &Site, id: &str) -> RunShape {
+fn over(site: &Environment, id: &str) -> RunShape {
     let mut last = None;
     until("the order is over", || {
         last = client(site).replays().unwrap().into_iter().find(|r| r.id == id);
--- a/tests/replay_fleet.rs
+++ b/tests/replay_fleet.rs
@@ -12,7 +12,7 @@
 use std::process::Command;
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use support::crowd::{answer, api, connect, Seen};
+use support::crowd::{connect, read_response, request_text, Response};
 use support::fleet::{within, Fleet};
 use support::*;
 
@@ -52,8 +52,8 @@
     for i in at {
         let mut stream = connect(fleet.listening(*i));
         for n in 0..many {
-            stream.write_all(api(&format!("c{i}-{n}")).as_bytes()).unwrap();
-            assert_eq!(answer(&mut stream), Seen::Status(202));
+            stream.write_all(request_text(&format!("c{i}-{n}")).as_bytes()).unwrap();
+            assert_eq!(read_response(&mut stream), Response::Status(202));
         }
         within(30.0, "all is kept", || client(fleet, *i).retention().unwrap().kept as usize == many);
     }
--- a/tests/sharing_wire.rs
+++ b/tests/sharing_wire.rs
@@ -5,7 +5,7 @@
 
 use indigohold_relay::Faults;
 use serde_json::Value;
-use support::crowd::Seen;
+use support::crowd::Response;
 use support::fleet::*;
 use support::*;
 
@@ -19,9 +19,9 @@
 fn hand_in(fleet: &mut Fleet, i: usize, from: u32, count: u32) {
     let addr = fleet.listening(i);
     for n in from..from + count {
-        let seen = crowd::send(&mut crowd::connect(addr), &format!("m{n}"));
+        let seen = crowd::submit(&mut crowd::connect(addr), &format!("m{n}"));
         // Demand counts, whether it finds room or not.
-        assert!(matches!(seen, Seen::Status(202 | 429 | 503)), "{n}");
+        assert!(matches!(seen, Response::Status(202 | 429 | 503)), "{n}");
     }
 }
 
--- a/tests/support/askers.rs
+++ b/tests/support/askers.rs
@@ -1,7 +1,7 @@
 //! Couriers that ask each other: processes with doors on port 0, every link between two of them through one relay.
 #![allow(dead_code)] // each test program uses its part
 
-use crate::support::crowd::{connect, send, site, Seen, Site};
+use crate::support::crowd::{connect, environment, submit, Environment, Response};
 use crate::support::*;
 use indigohold::net::ask::shape::AnswerShape;
 use indigohold_relay::{Limits, LinkName, Mesh, Place, Relay, Rule, RuleNo, What};
@@ -15,7 +15,7 @@
 /// A running fleet.
 pub struct Fleet {
     pub relay: Relay,
-    pub site: Site,
+    pub site: Environment,
     pub programs: Vec<Option<Program>>,
     pub doors: Vec<SocketAddr>,
     pub addrs: Vec<SocketAddr>,
@@ -52,13 +52,13 @@
 pub fn fleet_of(plan: &Plan) -> Fleet {
     let Plan { n, may_ask, notes, .. } = *plan;
     let relay = Relay::start(1, Vec::new(), Limits::default()).unwrap();
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     site.endpoint = endpoint(|id, _| match id.contains("hang") {
         true => Act::Hang,
         false => Act::Answer(OK),
     });
     let entry = instance("s-0", site.endpoint.addr, 3, "up").replace("50.0", "50000.0");
-    site.list(&[entry]);
+    site.set_endpoints(&[entry]);
     site.config["control"] = "127.0.0.1:0".into();
     site.config["settings"]["limits"]["peers"] = may_ask.into();
     if plan.lean {
@@ -158,7 +158,7 @@
 
     /// A message that this one takes on.
     pub fn hand_in(&self, i: usize, id: &str) {
-        assert_eq!(send(&mut connect(self.addrs[i]), id), Seen::Status(202));
+        assert_eq!(submit(&mut connect(self.addrs[i]), id), Response::Status(202));
     }
 
     /// The words of an answer at the door.
--- a/tests/support/crowd.rs
+++ b/tests/support/crowd.rs
@@ -1,4 +1,4 @@
-//! An instance, and clients that hand in by the hundreds.
+//! A courier with its surroundings, and clients that connect to it by the hundreds.
 
 use super::*;
 use std::collections::BTreeMap;
@@ -6,16 +6,16 @@
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
-/// What an instance under a crowd stands among.
-pub struct Site {
+/// What a courier under test needs: its folder and configuration, discovery, and a partner's endpoint.
+pub struct Environment {
     pub folder: Folder,
     pub discovery: Discovery,
     pub endpoint: Endpoint,
     pub config: serde_json::Value,
 }
 
-/// A program's folder, one free partner, and a discovery that lists it.
-pub fn site(sockets: usize, memory_mb: usize) -> Site {
+/// An environment with one endpoint that accepts every call, and a discovery that lists it.
+pub fn environment(sockets: usize, memory_mb: usize) -> Environment {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
     let entries = [instance("s-0", endpoint.addr, 3, "up").replace("50.0", "50000.0")];
     let discovery = discovery(&entries);
@@ -31,17 +31,18 @@
         "limits": {"cores": 1.0, "memory_mb": memory_mb, "sockets": sockets, "disk_mb": 64},
         "known": known, "settings": settings
     });
-    Site { folder: Folder::new(), discovery, endpoint, config }
+    Environment { folder: Folder::new(), discovery, endpoint, config }
 }
 
-impl Site {
-    /// What discovery and the configuration list, in place of the one partner.
-    pub fn list(&mut self, entries: &[String]) {
+impl Environment {
+    /// Replaces the endpoints that discovery and the configuration list.
+    pub fn set_endpoints(&mut self, entries: &[String]) {
         let list: Vec<serde_json::Value> = entries.iter().map(|e| serde_json::from_str(e).unwrap()).collect();
         self.config["known"]["instances"] = list.into();
         self.discovery.list.lock().unwrap().1 = entries.join(",");
     }
 
+    /// Starts the courier. Returns it with the address on which it takes client connections.
     pub fn start(&self) -> (Program, SocketAddr) {
         let mut program = Program::start(&self.folder.0, &self.config, None);
         let addr = program.addr("platform");
@@ -57,7 +58,8 @@
     }
 }
 
-pub fn api(id: &str) -> String {
+/// The HTTP request that submits a message with this id.
+pub fn request_text(id: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nReq-Id: {id}\r\nReq-Kind: print-order\r\nReq-Owner: tallowood\r\n\
          Req-Deadline-Ms: 20000\r\nIdempotency-Key: k-{id}\r\nX-Addressing: dest=3\r\nContent-Length: 1\r\n\r\nx"
@@ -70,36 +72,38 @@
     stream
 }
 
-/// What a client sees of its request.
+/// What a client receives for a request.
 #[derive(Debug, PartialEq)]
-pub enum Seen {
+pub enum Response {
     Status(u16),
-    /// Closed or reset without a byte.
-    Nothing,
-    /// Closed within the answer.
-    Cut,
+    /// The connection was closed or reset before the first byte.
+    Closed,
+    /// The connection was closed within the response.
+    Truncated,
 }
 
-pub fn answer(stream: &mut TcpStream) -> Seen {
-    let (mut got, mut buf) = (Vec::new(), [0; 512]);
+/// Reads the response to one request; panics if the read times out.
+pub fn read_response(stream: &mut TcpStream) -> Response {
+    let (mut received, mut buf) = (Vec::new(), [0; 512]);
     loop {
         match stream.read(&mut buf) {
-            Ok(n) if n > 0 => got.extend(&buf[..n]),
+            Ok(n) if n > 0 => received.extend(&buf[..n]),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                panic!("kept waiting")
+                panic!("no response in time")
             }
-            _ if got.is_empty() => return Seen::Nothing,
-            _ => return Seen::Cut,
+            _ if received.is_empty() => return Response::Closed,
+            _ => return Response::Truncated,
         }
-        if got.windows(4).any(|w| w == b"\r\n\r\n") {
-            return Seen::Status(std::str::from_utf8(&got[9..12]).unwrap().parse().unwrap());
+        if received.windows(4).any(|w| w == b"\r\n\r\n") {
+            return Response::Status(std::str::from_utf8(&received[9..12]).unwrap().parse().unwrap());
         }
     }
 }
 
-pub fn send(stream: &mut TcpStream, id: &str) -> Seen {
-    match stream.write_all(api(id).as_bytes()) {
-        Ok(()) => answer(stream),
-        Err(_) => Seen::Nothing,
+/// Submits a message and reads the response.
+pub fn submit(stream: &mut TcpStream, id: &str) -> Response {
+    match stream.write_all(request_text(id).as_bytes()) {
+        Ok(()) => read_response(stream),
+        Err(_) => Response::Closed,
     }
 }
--- a/tests/support/soak/clients.rs
+++ b/tests/support/soak/clients.rs
@@ -1,7 +1,7 @@
 //! Clients as the platform's are: they keep their connections and use them for as long as these stay open.
 
 use super::record::{Effect, Record};
-use crate::support::crowd::{answer, Seen};
+use crate::support::crowd::{read_response, Response};
 use crate::support::LONG;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -52,9 +52,9 @@
         let request = request(id, dest);
         if let Some(open) = stream {
             match exchange(open, &request) {
-                Seen::Status(status) => return self.answered(id, status),
-                Seen::Cut => self.unanswered(id, "an answer was cut off"),
-                Seen::Nothing => *stream = None,
+                Response::Status(status) => return self.answered(id, status),
+                Response::Truncated => self.unanswered(id, "an answer was cut off"),
+                Response::Closed => *stream = None,
             }
         }
         if self.front.closed.load(Ordering::SeqCst) {
@@ -64,18 +64,18 @@
         let Ok(mut new) = TcpStream::connect(self.addr) else { return };
         new.set_read_timeout(Some(LONG)).unwrap();
         match exchange(&mut new, &request) {
-            Seen::Status(status) => {
+            Response::Status(status) => {
                 self.answered(id, status);
                 *stream = Some(new);
             }
-            Seen::Nothing | Seen::Cut if self.front.kills.load(Ordering::SeqCst) == kills => {
+            Response::Closed | Response::Truncated if self.front.kills.load(Ordering::SeqCst) == kills => {
                 // The kill may be seen before it is counted.
                 thread::sleep(Duration::from_millis(50));
                 if self.front.kills.load(Ordering::SeqCst) == kills {
                     self.unanswered(id, "no answer on a new connection");
                 }
             }
-            Seen::Nothing | Seen::Cut => {}
+            Response::Closed | Response::Truncated => {}
         }
     }
 
@@ -101,9 +101,9 @@
     )
 }
 
-fn exchange(stream: &mut TcpStream, request: &str) -> Seen {
+fn exchange(stream: &mut TcpStream, request: &str) -> Response {
     match stream.write_all(request.as_bytes()) {
-        Ok(()) => answer(stream),
-        Err(_) => Seen::Nothing,
+        Ok(()) => read_response(stream),
+        Err(_) => Response::Closed,
     }
 }
--- a/tests/support/soak/mod.rs
+++ b/tests/support/soak/mod.rs
@@ -6,7 +6,7 @@
 pub mod record;
 pub mod rules;
 
-use crate::support::crowd::{site, Site};
+use crate::support::crowd::{environment, Environment};
 use crate::support::{instance, Program};
 use clients::{Client, Front};
 use indigohold_relay::{Limits, LinkName, Relay, Rule, RuleNo, What};
@@ -51,10 +51,10 @@
     }
 }
 
-fn config(site: &mut Site, links: &[SocketAddr]) -> SocketAddr {
+fn config(site: &mut Environment, links: &[SocketAddr]) -> SocketAddr {
     let addr = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let entries = [instance("s-3", links[0], 3, "up"), instance("s-4", links[1], 4, "up")];
-    site.list(&entries.map(|entry| entry.replace("50.0", "0.0")));
+    site.set_endpoints(&entries.map(|entry| entry.replace("50.0", "0.0")));
     site.config["listen"] = addr.to_string().into();
     let settings = &mut site.config["settings"];
     settings["weights"] = "off".into();
@@ -79,7 +79,7 @@
 
 struct Run {
     chance: Chance,
-    site: Site,
+    site: Environment,
     relay: Relay,
     refused: Vec<RuleNo>,
     stalled: Arc<AtomicBool>,
@@ -166,7 +166,7 @@
         relay.link(LinkName::new("courier", format!("p{dest}")), addr).unwrap()
     };
     let links = [link(3), link(4)];
-    let mut site = site(SOCKETS, 64);
+    let mut site = environment(SOCKETS, 64);
     let addr = config(&mut site, &links);
     let front = Arc::new(Front::default());
     let with_crowd = chance.one_in(3);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use support::crowd::{connect, send, site, Seen, Site};
+use support::crowd::{connect, environment, submit, Environment, Response};
 use support::*;
 
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 /// A process with the listener as descriptor 7, as the platform gives it.
-fn start(site: &Site, held: &TcpListener) -> Program {
+fn start(site: &Environment, held: &TcpListener) -> Program {
     let mut command = Command::new("sh");
     surroundings(&mut command, &site.folder.0, &site.config.to_string());
     let run = format!("exec '{}' 7<&0 </dev/null", env!("CARGO_BIN_EXE_indigohold"));
@@ -28,14 +28,14 @@
     Program::of(command)
 }
 
-fn ready(site: &Site, held: &TcpListener) -> (Program, SocketAddr) {
+fn ready(site: &Environment, held: &TcpListener) -> (Program, SocketAddr) {
     let mut program = start(site, held);
     program.line("indigohold: ready");
     let door = program.addr("door");
     (program, door)
 }
 
-fn held(site: &mut Site) -> (TcpListener, SocketAddr) {
+fn held(site: &mut Environment) -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     site.config["listen"] = addr.to_string().into();
@@ -69,10 +69,10 @@
                         break;
                     }
                     let id = format!("c{c}-{n}");
-                    match send(&mut stream, &id) {
-                        Seen::Status(202) => taken.push(id),
-                        Seen::Status(_) => {}
-                        Seen::Nothing | Seen::Cut => {
+                    match submit(&mut stream, &id) {
+                        Response::Status(202) => taken.push(id),
+                        Response::Status(_) => {}
+                        Response::Closed | Response::Truncated => {
                             broken.fetch_add(1, Ordering::SeqCst);
                             stream = connect(addr);
                         }
@@ -101,9 +101,9 @@
         thread::sleep(Duration::from_millis(30));
         Act::Answer(OK)
     });
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     site.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
-    site.list(&[instance("s-0", slow.addr, 3, "up").replace("50.0", "50000.0")]);
+    site.set_endpoints(&[instance("s-0", slow.addr, 3, "up").replace("50.0", "50000.0")]);
     let (listener, addr) = held(&mut site);
     let (mut program, mut door) = ready(&site, &listener);
     let load = load(addr, 6);
@@ -149,15 +149,15 @@
         until("its round", || open.load(Ordering::SeqCst) > of);
         Act::Answer(OK)
     });
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     site.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
-    site.list(&[instance("s-0", partner.addr, 3, "up").replace("50.0", "50000.0")]);
+    site.set_endpoints(&[instance("s-0", partner.addr, 3, "up").replace("50.0", "50000.0")]);
     let (listener, addr) = held(&mut site);
     let (mut program, _) = ready(&site, &listener);
     for r in 0..4 {
         let ids: Vec<String> = (0..12).map(|n| format!("r{r}-{n}")).collect();
         let mut client = connect(addr);
-        ids.iter().for_each(|id| assert_eq!(send(&mut client, id), Seen::Status(202)));
+        ids.iter().for_each(|id| assert_eq!(submit(&mut client, id), Response::Status(202)));
         until("all calls are out", || ids.iter().all(|id| partner.count(id) == 1));
         let (mut next, _) = ready(&site, &listener);
         program.line_with("handed over");
@@ -173,7 +173,7 @@
 
 #[test]
 fn a_successor_that_dies_hangs_or_is_unfit_costs_nothing() {
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     let (listener, addr) = held(&mut site);
     let (mut program, door) = ready(&site, &listener);
     let load = load(addr, 3);
@@ -211,7 +211,7 @@
 #[test]
 fn a_kill_at_any_moment_of_the_hand_over_loses_nothing() {
     for delay_ms in [0, 4, 8, 12, 16, 24, 40] {
-        let mut site = site(256, 64);
+        let mut site = environment(256, 64);
         let (listener, addr) = held(&mut site);
         let (old, _) = ready(&site, &listener);
         let load = load(addr, 3);
@@ -239,26 +239,26 @@
             )
         }
     });
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     site.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
     let banned = endpoint(|_, _| Act::Answer(OK));
     let entries = [instance("s-0", hangs.addr, 3, "up"), instance("s-1", banned.addr, 4, "up")];
-    site.list(&entries);
+    site.set_endpoints(&entries);
     let (listener, addr) = held(&mut site);
     let (mut old, door) = ready(&site, &listener);
     assert!(call(door, "exclude s-1").starts_with("200 "));
     let mut stream = connect(addr);
-    assert_eq!(send(&mut stream, "long"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "long"), Response::Status(202));
     until("it is out", || hangs.count("long") == 1);
-    assert_eq!(send(&mut stream, "waits"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "waits"), Response::Status(202));
     until("it was told to wait", || hangs.count("waits") == 1);
     let told = Instant::now();
     thread::sleep(Duration::from_millis(20));
     let (mut next, next_door) = ready(&site, &listener);
     old.line_with("handed over");
     // The session goes on where it is.
-    assert_eq!(send(&mut stream, "after"), Seen::Status(202));
-    let text = support::crowd::api("nowhere").replace("dest=3", "dest=4");
+    assert_eq!(submit(&mut stream, "after"), Response::Status(202));
+    let text = support::crowd::request_text("nowhere").replace("dest=3", "dest=4");
     drop(ask(addr, text.as_bytes()));
     until("the call that was out has ended", || call(next_door, "telemetry").contains("\"print-order\":1"));
     assert_eq!(hangs.count("long"), 1, "it was not sent again");
@@ -273,16 +273,16 @@
 
 #[test]
 fn without_an_inherited_socket_the_listener_goes_along_and_a_second_owner_is_told_why_not() {
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     site.config["control"] = "127.0.0.1:0".into();
     let (mut old, addr) = site.start();
     let mut stream = connect(addr);
-    assert_eq!(send(&mut stream, "before"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "before"), Response::Status(202));
     let (mut next, again) = site.start();
     old.line_with("handed over");
     assert_eq!(again, addr, "the same listener");
-    assert_eq!(send(&mut stream, "after"), Seen::Status(202));
-    assert_eq!(send(&mut connect(addr), "new"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "after"), Response::Status(202));
+    assert_eq!(submit(&mut connect(addr), "new"), Response::Status(202));
     old.signal("TERM");
     next.line_with("the process before has ended");
     // One that can't ask finds the folder owned.
--- a/tests/waits.rs
+++ b/tests/waits.rs
@@ -101,12 +101,12 @@
 /// are ten and more.
 #[test]
 fn a_process_that_is_held_up_reads_what_has_come_before_it_calls() {
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     let book = Arc::default();
     let entries: Vec<String> = (0..4)
         .map(|n| instance(&format!("s-{n}"), partner(&book), 3, "up").replace("50.0", "50000.0"))
         .collect();
-    site.list(&entries);
+    site.set_endpoints(&entries);
     let core = a_core();
     let mut command = pinned(&core, env!("CARGO_BIN_EXE_indigohold"), &[]);
     surroundings(&mut command, &site.folder.0, &site.config.to_string());
@@ -133,7 +133,7 @@
         if begun.elapsed() > Duration::from_secs(15) {
             break;
         }
-        if send(&mut stream, &format!("m{n}")) == Seen::Nothing {
+        if submit(&mut stream, &format!("m{n}")) == Response::Closed {
             stream = connect(addr);
         }
     }
@@ -154,10 +154,12 @@
 }
 
 fn calls_before_the_body() -> bool {
-    let mut site = site(256, 64);
+    let mut site = environment(256, 64);
     let book: Arc<Mutex<Book>> = Arc::default();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    site.list(&[instance("s-0", listener.local_addr().unwrap(), 3, "up").replace("50.0", "50000.0")]);
+    site.set_endpoints(
+        &[instance("s-0", listener.local_addr().unwrap(), 3, "up").replace("50.0", "50000.0")],
+    );
     let shared = book.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
@@ -183,10 +185,10 @@
     });
     let (_program, addr) = site.start();
     let mut stream = connect(addr);
-    assert_eq!(send(&mut stream, "m0"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "m0"), Response::Status(202));
     until("its wait", || book.lock().unwrap().told.is_some());
     thread::sleep(SLACK + Duration::from_millis(20));
-    assert_eq!(send(&mut stream, "m1"), Seen::Status(202));
+    assert_eq!(submit(&mut stream, "m1"), Response::Status(202));
     until("both calls", || book.lock().unwrap().calls >= 3);
     let early = &book.lock().unwrap().early;
     !early.is_empty()
@@ -196,24 +198,24 @@
 /// request with the end behind it, on a session that it knew and on one that it had not let in yet, and takes neither on.
 #[test]
 fn what_its_client_has_given_up_is_not_taken_on_after_a_pause() {
-    let site = site(256, 64);
+    let site = environment(256, 64);
     let (program, addr) = site.start();
     let mut known = connect(addr);
-    assert_eq!(send(&mut known, "before"), Seen::Status(202));
+    assert_eq!(submit(&mut known, "before"), Response::Status(202));
     let pid = Pid::from_child(&program.child);
     kill_process(pid, Signal::STOP).unwrap();
     let mut new = connect(addr);
-    known.write_all(api("gone-1").as_bytes()).unwrap();
-    new.write_all(api("gone-2").as_bytes()).unwrap();
+    known.write_all(request_text("gone-1").as_bytes()).unwrap();
+    new.write_all(request_text("gone-2").as_bytes()).unwrap();
     drop((known, new));
     // Who has only ended its sending reads that it may come again.
     let mut half = connect(addr);
-    half.write_all(api("half").as_bytes()).unwrap();
+    half.write_all(request_text("half").as_bytes()).unwrap();
     half.shutdown(std::net::Shutdown::Write).unwrap();
     kill_process(pid, Signal::CONT).unwrap();
-    assert_eq!(answer(&mut half), Seen::Status(503));
+    assert_eq!(read_response(&mut half), Response::Status(503));
     let mut stays = connect(addr);
-    assert_eq!(send(&mut stays, "after"), Seen::Status(202));
+    assert_eq!(submit(&mut stays, "after"), Response::Status(202));
     until("both deliveries", || site.endpoint.count("before") + site.endpoint.count("after") == 2);
     thread::sleep(Duration::from_millis(300));
     for id in ["gone-1", "gone-2", "half"] {
