--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -19,7 +19,7 @@
 use crate::register::list::ParsedList;
 use crate::register::static_file::StaticFile;
 use crate::store::{owner, Journal, Succession};
-use crate::upgrade::{self, inherit};
+use crate::upgrade::{self, inherited_socket};
 pub(crate) use parts::classes_of;
 use parts::{file, keep_list, reload, share, tell_damages};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -81,7 +81,7 @@
     let slots = settings.limits.slots.map_or(64, |s| s as usize).clamp(1, 256) + 2;
     let (clock, mut anchor) = anchor::start(&state);
     // Before anything is touched: an address that is taken or a descriptor that is none ends this process alone.
-    let inherited = inherit::listener(paths.listen_fd.as_deref(), config.listen.as_deref())?;
+    let inherited = inherited_socket::listener(paths.listen_fd.as_deref(), config.listen.as_deref())?;
     let door_listener = match door_at {
         Some(at) => Some(door::bind(at).map_err(|e| format!("control: {at}: {e}"))?),
         None => None,
@@ -116,15 +116,15 @@
         ));
     }
     // Danger: two processes on one folder both answer for its messages, and each destroys the other's journal.
-    let (owner, taken) = upgrade::claim(&state, &clock, upgradable).map_err(|e| in_state(&e))?;
+    let (owner, taken) = upgrade::claim_folder(&state, &clock, upgradable).map_err(|e| in_state(&e))?;
     let taken_over = taken.is_some();
     if let Err(e) = anchor.write() {
         tracing::warn!(target: "clock", "its anchor can't be written yet: {e}");
     }
     let (mut passed, mut taken_listener, mut sessions, mut ends) = (None, None, Vec::new(), None);
     if let Some(taken) = taken {
-        (passed, taken_listener) = (Some(taken.passed), taken.listener);
-        (sessions, ends) = (taken.sessions, Some(taken.ends));
+        (passed, taken_listener) = (Some(taken.state), taken.listener);
+        (sessions, ends) = (taken.connections, Some(taken.call_ends));
     }
     let succession = if taken_over { Succession::HandOver } else { Succession::Restart };
     let journal = Journal::open_as(&state, room, clock.now(), owner.claim.incarnation, succession)
@@ -287,7 +287,7 @@
         tracing::info!(target: "door", "door on {at}");
     }
     if let Some(ends) = ends {
-        upgrade::follow(&courier, ends).map_err(fail)?;
+        upgrade::follow_call_ends(&courier, ends).map_err(fail)?;
     }
     // What is owed has been taken up; only now is anybody answered.
     serve.into_iter().try_for_each(|serve| serve()).map_err(fail)?;
@@ -295,17 +295,17 @@
     let phase = courier.phase(platform::FRONT).name();
     let (owed, backends) = (courier.owed(), courier.backends());
     if let (true, Some(door)) = (upgradable, doors.first()) {
-        let this = upgrade::Serving {
-            told: told.clone(),
+        let this = upgrade::ServingProcess {
+            ends_forwarded: told.clone(),
             courier: courier.clone(),
-            door: door.clone(),
+            acceptor: door.clone(),
             serving: serving.clone(),
             owner: owner.clone(),
-            hand: by_hand,
-            refuses: (doors.len() > 1)
+            overrides: by_hand,
+            refusal_reason: (doors.len() > 1)
                 .then_some("the mail front is on, and its sessions can't be handed over"),
         };
-        upgrade::serve(&state, this);
+        upgrade::listen_for_successor(&state, this);
     }
     anchor.log_start();
     tracing::info!(target: "daemon", register = phase, incarnation, "ready; {owed} messages are owed, {backends} backends known");
--- a/src/upgrade/frame.rs
+++ b/src/upgrade/frame.rs
@@ -1,5 +1,7 @@
-//! What two processes of one courier say to each other: frames of a kind, a length and JSON over a Unix stream, descriptors
-//! with a frame's head. Whatever comes is bounded, and what can't be read is an error in words.
+//! The frames that two processes of one courier exchange over a Unix stream during a handover. A frame is a header of
+//! four bytes with the body's length (little-endian) and a JSON body; file descriptors are attached to the header.
+//! The length of a frame and the number of its descriptors are bounded, and a frame that can't be decoded is an
+//! error.
 
 use crate::core::handover::{CompletedCall, HandoverState};
 use crate::net::acceptor::ExportedConnection;
@@ -15,91 +17,100 @@
 use std::os::unix::net::UnixStream;
 use std::time::{Duration, Instant};
 
-/// The longest frame, and descriptors with one.
-const FRAME_MOST: usize = 16 << 20;
-/// Descriptors that go with one frame at most.
-pub const FDS_MOST: usize = 32;
-const HEAD: usize = 4;
+/// The maximum length of a frame's body.
+const MAX_BODY_BYTES: usize = 16 << 20;
+/// The maximum number of file descriptors of one frame.
+pub const MAX_FRAME_FDS: usize = 32;
+/// The length of a frame's header.
+const HEADER_BYTES: usize = 4;
 
-/// One thing said.
+/// A frame of the handover protocol.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub enum Frame {
-    /// A new process wants to serve.
-    Ask {
-        /// What it speaks.
+    /// The new process requests the handover.
+    #[serde(rename = "Ask")]
+    Request {
+        /// Its version of the handover protocol.
         version: u32,
-        /// Its process.
+        /// Its process id.
         process: u32,
     },
-    /// It can't be, and why.
-    No(String),
-    /// What the core passes; the listener is with it.
-    Core(Box<HandoverState>),
-    /// Sessions, each with its descriptor.
-    Seats(Vec<ExportedConnection>),
-    /// That was all.
-    Whole,
-    /// All of it is here.
+    /// The old process refuses the request, with the reason.
+    #[serde(rename = "No")]
+    Refused(String),
+    /// The state of the core; the listener is attached.
+    #[serde(rename = "Core")]
+    CoreState(Box<HandoverState>),
+    /// Client connections, each with its descriptor attached.
+    #[serde(rename = "Seats")]
+    Connections(Vec<ExportedConnection>),
+    /// The state is complete.
+    #[serde(rename = "Whole")]
+    StateComplete,
+    /// The new process has received the complete state.
     Ready,
-    /// The folder is the other's.
-    Yours,
-    /// A call is over.
-    Over(CompletedCall),
+    /// The old process has released the folder to the new one.
+    #[serde(rename = "Yours")]
+    OwnershipReleased,
+    /// A call of the old process has ended.
+    #[serde(rename = "Over")]
+    CallCompleted(CompletedCall),
 }
 
-/// Says one thing before the deadline.
-pub fn send(stream: &UnixStream, frame: &Frame, fds: &[BorrowedFd], until: Instant) -> io::Result<()> {
+/// Sends a frame with the given descriptors before the deadline.
+pub fn send(stream: &UnixStream, frame: &Frame, fds: &[BorrowedFd], deadline: Instant) -> io::Result<()> {
     let body = serde_json::to_vec(frame).map_err(io::Error::other)?;
-    if body.len() > FRAME_MOST || fds.len() > FDS_MOST {
+    if body.len() > MAX_BODY_BYTES || fds.len() > MAX_FRAME_FDS {
         return Err(io::Error::new(ErrorKind::InvalidInput, "a frame is too long"));
     }
-    let head = (body.len() as u32).to_le_bytes();
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(FDS_MOST))];
+    let header = (body.len() as u32).to_le_bytes();
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_FRAME_FDS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     if !fds.is_empty() && !control.push(SendAncillaryMessage::ScmRights(fds)) {
         return Err(io::Error::other("no room for descriptors"));
     }
-    conn::SocketStream::set_write_timeout(stream, Some(left(until)?))?;
-    // A head of four bytes goes as a whole or not at all.
-    let sent = sendmsg(stream, &[IoSlice::new(&head)], &mut control, SendFlags::NOSIGNAL)?;
-    if sent != HEAD {
+    conn::SocketStream::set_write_timeout(stream, Some(remaining(deadline)?))?;
+    // A header of four bytes is written completely or not at all.
+    let sent = sendmsg(stream, &[IoSlice::new(&header)], &mut control, SendFlags::NOSIGNAL)?;
+    if sent != HEADER_BYTES {
         return Err(ErrorKind::WriteZero.into());
     }
-    conn::write_all(stream, &body, until)
+    conn::write_all(stream, &body, deadline)
 }
 
-/// Hears one thing before the deadline, and takes the descriptors that came with it.
-pub fn hear(stream: &UnixStream, until: Instant) -> io::Result<(Frame, Vec<OwnedFd>)> {
-    let mut head = [0; HEAD];
+/// Receives a frame and its descriptors before the deadline.
+pub fn receive(stream: &UnixStream, deadline: Instant) -> io::Result<(Frame, Vec<OwnedFd>)> {
+    let mut header = [0; HEADER_BYTES];
     let (mut filled, mut fds) = (0, Vec::new());
-    while filled < HEAD {
-        conn::SocketStream::set_read_timeout(stream, Some(left(until)?))?;
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(FDS_MOST))];
+    while filled < HEADER_BYTES {
+        conn::SocketStream::set_read_timeout(stream, Some(remaining(deadline)?))?;
+        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_FRAME_FDS))];
         let mut control = RecvAncillaryBuffer::new(&mut space);
-        let into = &mut [IoSliceMut::new(&mut head[filled..])];
-        let got = match recvmsg(stream, into, &mut control, RecvFlags::CMSG_CLOEXEC) {
+        let buffers = &mut [IoSliceMut::new(&mut header[filled..])];
+        let received = match recvmsg(stream, buffers, &mut control, RecvFlags::CMSG_CLOEXEC) {
             Err(rustix::io::Errno::INTR) => continue,
             other => other?.bytes,
         };
         for message in control.drain() {
-            if let RecvAncillaryMessage::ScmRights(more) = message {
-                fds.extend(more);
+            if let RecvAncillaryMessage::ScmRights(attached) = message {
+                fds.extend(attached);
             }
         }
-        if got == 0 {
+        if received == 0 {
             return Err(ErrorKind::UnexpectedEof.into());
         }
-        filled += got;
+        filled += received;
     }
-    let length = u32::from_le_bytes(head) as usize;
-    if length > FRAME_MOST {
+    let length = u32::from_le_bytes(header) as usize;
+    if length > MAX_BODY_BYTES {
         return Err(io::Error::new(ErrorKind::InvalidData, "a frame is too long"));
     }
-    // Danger: a length that is a lie must not take memory for what never comes.
+    // The buffer grows with the data that arrives: a header with a false length must not allocate memory for a body
+    // that never comes.
     let (mut body, mut buf) = (Vec::new(), [0; 16 * 1024]);
     while body.len() < length {
-        let most = buf.len().min(length - body.len());
-        match conn::read(stream, &mut buf[..most], until)? {
+        let wanted = buf.len().min(length - body.len());
+        match conn::read(stream, &mut buf[..wanted], deadline)? {
             0 => return Err(ErrorKind::UnexpectedEof.into()),
             n => body.extend_from_slice(&buf[..n]),
         }
@@ -108,12 +119,12 @@
     Ok((frame, fds))
 }
 
-fn left(until: Instant) -> io::Result<Duration> {
-    let left = until.saturating_duration_since(Instant::now());
-    if left.is_zero() {
+fn remaining(deadline: Instant) -> io::Result<Duration> {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if remaining.is_zero() {
         return Err(ErrorKind::TimedOut.into());
     }
-    Ok(left.max(Duration::from_millis(1)))
+    Ok(remaining.max(Duration::from_millis(1)))
 }
 
 #[cfg(test)]
@@ -125,63 +136,73 @@
     use std::net::{TcpListener, TcpStream};
     use std::os::fd::AsFd;
 
-    fn soon() -> Instant {
+    fn test_deadline() -> Instant {
         Instant::now() + Duration::from_secs(20)
     }
 
     #[test]
-    fn what_is_said_is_heard_and_descriptors_come_with_their_frame() {
-        let (a, b) = UnixStream::pair().unwrap();
+    fn frames_and_their_descriptors_are_received_as_sent() {
+        let (sender, receiver) = UnixStream::pair().unwrap();
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let (session, _) = listener.accept().unwrap();
-        let over = CompletedCall {
+        let (connection, _) = listener.accept().unwrap();
+        let completed = CompletedCall {
             msg: 7,
             end: End::TurnedAway(Some(Micros(9))),
             latency: Micros(1),
             load: vec![0.5, 2.0],
             reply: "x".into(),
         };
-        send(&a, &Frame::Ask { version: 1, process: 2 }, &[], soon()).unwrap();
-        send(&a, &Frame::Seats(vec![]), &[session.as_fd(), listener.as_fd()], soon()).unwrap();
-        send(&a, &Frame::Over(over), &[], soon()).unwrap();
-        drop(session);
-        let (frame, fds) = hear(&b, soon()).unwrap();
-        assert!(frame == Frame::Ask { version: 1, process: 2 } && fds.is_empty());
-        let (frame, mut fds) = hear(&b, soon()).unwrap();
-        assert_eq!((frame, fds.len()), (Frame::Seats(vec![]), 2));
-        let passed = TcpListener::from(fds.pop().unwrap());
-        assert_eq!(passed.local_addr().unwrap(), listener.local_addr().unwrap());
-        let mut session = TcpStream::from(fds.pop().unwrap());
-        session.write_all(b"still here").unwrap();
-        let mut heard = [0; 10];
-        client.read_exact(&mut heard).unwrap();
-        assert_eq!(&heard, b"still here");
-        assert!(
-            matches!(hear(&b, soon()).unwrap().0, Frame::Over(over) if over.end == End::TurnedAway(Some(Micros(9))))
-        );
+        send(&sender, &Frame::Request { version: 1, process: 2 }, &[], test_deadline()).unwrap();
+        send(&sender, &Frame::Connections(vec![]), &[connection.as_fd(), listener.as_fd()], test_deadline())
+            .unwrap();
+        send(&sender, &Frame::CallCompleted(completed), &[], test_deadline()).unwrap();
+        drop(connection);
+        let (frame, fds) = receive(&receiver, test_deadline()).unwrap();
+        assert!(frame == Frame::Request { version: 1, process: 2 } && fds.is_empty());
+        let (frame, mut fds) = receive(&receiver, test_deadline()).unwrap();
+        assert_eq!((frame, fds.len()), (Frame::Connections(vec![]), 2));
+        let inherited = TcpListener::from(fds.pop().unwrap());
+        assert_eq!(inherited.local_addr().unwrap(), listener.local_addr().unwrap());
+        let mut connection = TcpStream::from(fds.pop().unwrap());
+        connection.write_all(b"still here").unwrap();
+        let mut received = [0; 10];
+        client.read_exact(&mut received).unwrap();
+        assert_eq!(&received, b"still here");
+        assert!(matches!(
+            receive(&receiver, test_deadline()).unwrap().0,
+            Frame::CallCompleted(call) if call.end == End::TurnedAway(Some(Micros(9)))
+        ));
     }
 
     #[test]
-    fn garbage_cuts_and_lies_are_errors() {
-        let whole = {
-            let body = serde_json::to_vec(&Frame::Whole).unwrap();
+    fn truncated_frames_invalid_bodies_and_false_lengths_are_errors() {
+        let complete = {
+            let body = serde_json::to_vec(&Frame::StateComplete).unwrap();
             [&(body.len() as u32).to_le_bytes()[..], &body].concat()
         };
-        for cut in 0..whole.len() {
-            let (mut a, b) = UnixStream::pair().unwrap();
-            a.write_all(&whole[..cut]).unwrap();
-            drop(a);
-            assert_eq!(hear(&b, soon()).unwrap_err().kind(), ErrorKind::UnexpectedEof, "{cut}");
+        for cut in 0..complete.len() {
+            let (mut sender, receiver) = UnixStream::pair().unwrap();
+            sender.write_all(&complete[..cut]).unwrap();
+            drop(sender);
+            assert_eq!(
+                receive(&receiver, test_deadline()).unwrap_err().kind(),
+                ErrorKind::UnexpectedEof,
+                "{cut}"
+            );
         }
         for bytes in [&b"\xff\xff\xff\xff"[..], b"\x02\x00\x00\x00{}", b"\x04\x00\x00\x00\xff\xfe\xfd\xfc"] {
-            let (mut a, b) = UnixStream::pair().unwrap();
-            a.write_all(bytes).unwrap();
-            assert_eq!(hear(&b, soon()).unwrap_err().kind(), ErrorKind::InvalidData, "{bytes:?}");
+            let (mut sender, receiver) = UnixStream::pair().unwrap();
+            sender.write_all(bytes).unwrap();
+            assert_eq!(
+                receive(&receiver, test_deadline()).unwrap_err().kind(),
+                ErrorKind::InvalidData,
+                "{bytes:?}"
+            );
         }
-        let (_a, b) = UnixStream::pair().unwrap();
+        let (_sender, receiver) = UnixStream::pair().unwrap();
         assert!(crate::net::errors::is_timeout(
-            &hear(&b, Instant::now() + Duration::from_millis(20)).unwrap_err()
+            &receive(&receiver, Instant::now() + Duration::from_millis(20)).unwrap_err()
         ));
     }
 }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -1,20 +1,21 @@
-//! A new version under load: the process that serves hands over to the one that was started beside it. What is done when is
-//! decided in [`phase`]; what is said, in [`frame`]; here are the two sides' sockets. `docs/design/upgrade.md`.
+//! Upgrade to a new version under load: the serving process hands over to a process that was started beside it.
+//! [`phase`] has the state machines of both processes, [`frame`] the messages between them; this module does the I/O
+//! of both sides. The design is described in `docs/design/upgrade.md`.
 
 pub mod frame;
-pub mod inherit;
+pub mod inherited_socket;
 pub mod phase;
 
 use crate::admin::hand::Hand;
 use crate::api::Micros;
-use crate::core::handover::HandoverState;
+use crate::core::handover::{CompletedCall, HandoverState};
 use crate::core::{Clock, Courier};
 use crate::net::acceptor::{AcceptorHandle, ExportedConnection};
 use crate::net::spawn;
 use crate::store::owner::{self, Owner, Refusal};
 use crossbeam_channel::{bounded, unbounded, Receiver};
-use frame::{hear, send, Frame, FDS_MOST};
-use phase::{Do, Heard, New, Next, Old, Said, VERSION};
+use frame::{receive, send, Frame, MAX_FRAME_FDS};
+use phase::{NewAction, NewEvent, NewPhase, OldAction, OldEvent, OldPhase, VERSION};
 use std::fs::{self, File};
 use std::io::{self, ErrorKind};
 use std::net::TcpListener;
@@ -25,312 +26,341 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// The socket's name in the folder that lasts.
-const SOCKET: &str = "upgrade.sock";
-/// The old process waits so long for its connection acceptor to be between two rounds, and for the new one to have
-/// everything. Danger: clients wait 400 ms for an answer; a new process that hangs must not cost them more than it has to.
-const SETTLE: Micros = Micros(500_000);
-const READY: Micros = Micros(700_000);
-/// The new process asks for so long, and waits so long for each word.
-const ASK: Duration = Duration::from_millis(4_500);
-const WORD: Duration = Duration::from_millis(1_500);
-const ASK_AGAIN: Duration = Duration::from_millis(30);
-/// What is said to a new process that can't be served.
-const ANSWER: Micros = Micros(500_000);
+/// The socket's name in the state folder.
+const SOCKET_NAME: &str = "upgrade.sock";
+/// How long the old process waits for its connection acceptor to finish its current round.
+const QUIESCE_TIMEOUT: Micros = Micros(500_000);
+/// How long the old process waits until the new one has the complete state, and for the write of one call's end. Clients
+/// wait 400 ms for an answer, so a new process that hangs must not block them for longer than needed.
+const READY_TIMEOUT: Micros = Micros(700_000);
+/// How long the new process tries to claim the folder and repeats its request.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// How long the new process waits to send or receive one frame.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The delay before a request is repeated, and before the old process accepts again after an error.
+const RETRY_INTERVAL: Duration = Duration::from_millis(30);
+/// How long the old process waits for the request on a new connection, and for the write of a refusal.
+const REQUEST_TIMEOUT: Micros = Micros(500_000);
 
-/// The path of a folder by a descriptor of it. Danger: a socket's path may have 107 bytes, and folders are deeper than that.
-struct Short {
+/// A path below a directory that is addressed through a descriptor of the directory. A socket's path is limited to
+/// 107 bytes, and state folders may have longer paths.
+struct ShortPath {
     _dir: File,
     path: PathBuf,
 }
 
-fn short(dir: &Path, name: &str) -> io::Result<Short> {
+fn short_path(dir: &Path, name: &str) -> io::Result<ShortPath> {
     let dir = File::open(dir)?;
     let path = PathBuf::from(format!("/proc/self/fd/{}", dir.as_raw_fd())).join(name);
-    Ok(Short { _dir: dir, path })
+    Ok(ShortPath { _dir: dir, path })
 }
 
-// ---- The process that serves ----
+// ---- The old process ----
 
-/// What the process that serves hands over.
-pub struct Serving {
+/// The serving process, with what it needs for a handover.
+pub struct ServingProcess {
     /// The core.
     pub courier: Arc<Courier>,
-    /// The front's sessions.
-    pub door: AcceptorHandle,
-    /// Whether this process takes clients.
+    /// The handle of the connection acceptor, which passes the client connections on.
+    pub acceptor: AcceptorHandle,
+    /// Whether this process accepts clients.
     pub serving: Arc<AtomicBool>,
-    /// Whether the other process has heard how all calls ended that were out when this one left. Danger: this process must not
-    /// end before, or what it knows of them is lost with it.
-    pub told: Arc<AtomicBool>,
-    /// The folder's lock.
+    /// Whether this process has sent the ends of all calls that were in flight at the handover to the new process. It
+    /// must not exit before that, as the outcomes that only it knows would be lost.
+    pub ends_forwarded: Arc<AtomicBool>,
+    /// The lock on the state folder.
     pub owner: Arc<Mutex<Option<Owner>>>,
-    /// Bans are changed by the other from then on.
-    pub hand: Arc<Hand>,
-    /// Why it can't be, if it can't.
-    pub refuses: Option<&'static str>,
+    /// The administrative overrides, which only the new process changes after the handover.
+    pub overrides: Arc<Hand>,
+    /// The reason for which every handover is refused, if there is one.
+    pub refusal_reason: Option<&'static str>,
 }
 
-/// Listens for a process that wants to take over. Where that can't be, there is no upgrade, and all else goes on.
-pub fn serve(dir: &Path, this: Serving) {
-    let listener = short(dir, SOCKET).and_then(|at| {
-        // Only the folder's owner comes here: whatever lies there was left behind.
-        match fs::remove_file(&at.path) {
+/// Starts a thread that listens for a process that wants to take over. If that fails, this process can't hand over,
+/// which is logged, and everything else works as usual.
+pub fn listen_for_successor(dir: &Path, this: ServingProcess) {
+    let listener = short_path(dir, SOCKET_NAME).and_then(|socket| {
+        // Only the owner of the folder gets here, so an existing socket file is a leftover of an earlier process.
+        match fs::remove_file(&socket.path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
             _ => {}
         }
-        UnixListener::bind(&at.path)
+        UnixListener::bind(&socket.path)
     });
     let started = listener.and_then(|listener| {
         spawn("upgrade", move || {
-            let mut state = Old::Serves;
-            while state != Old::Left {
+            let mut phase = OldPhase::Serving;
+            while phase != OldPhase::HandedOver {
                 match listener.accept() {
-                    Ok((stream, _)) => state = this.asked(stream),
-                    Err(_) => std::thread::sleep(ASK_AGAIN),
+                    Ok((stream, _)) => phase = this.handle_request(stream),
+                    Err(_) => std::thread::sleep(RETRY_INTERVAL),
                 }
             }
         })
     });
     if let Err(e) = started {
-        tracing::info!(target: "upgrade", "no new version can take over from this process: {e}");
+        tracing::info!(target: "upgrade", "this process can't hand over to a new version: {e}");
     }
 }
 
-impl Serving {
-    fn within(&self, span: Micros) -> Instant {
+impl ServingProcess {
+    fn deadline_after(&self, timeout: Micros) -> Instant {
         let clock = &self.courier.clock;
-        clock.instant(clock.now() + span)
+        clock.instant(clock.now() + timeout)
     }
 
-    /// One process that asks; what this one is then.
-    fn asked(&self, stream: UnixStream) -> Old {
-        let mut state = Old::Serves;
-        let (version, process) = match hear(&stream, self.within(ANSWER)) {
-            Ok((Frame::Ask { version, process }, _)) => (version, process),
-            _ => return state,
+    /// Handles the request of one process; returns the phase of this process afterwards.
+    fn handle_request(&self, stream: UnixStream) -> OldPhase {
+        let mut phase = OldPhase::Serving;
+        let (version, process) = match receive(&stream, self.deadline_after(REQUEST_TIMEOUT)) {
+            Ok((Frame::Request { version, process }, _)) => (version, process),
+            _ => return phase,
         };
         tracing::info!(target: "upgrade", process, version, "a new process asks to take over");
-        if let (Do::Settle, None) = (state.hear(Heard::Asked(version)), self.refuses) {
-            return self.settle(state, stream);
+        if let (OldAction::Quiesce, None) = (phase.handle(OldEvent::Requested(version)), self.refusal_reason)
+        {
+            return self.hand_over(phase, stream);
         }
-        let why = self.refuses.map_or_else(|| format!("this one speaks version {VERSION}"), str::to_owned);
-        tracing::warn!(target: "upgrade", process, "it is refused: {why}");
-        // An error says that it is gone.
-        let _ = send(&stream, &Frame::No(why), &[], self.within(ANSWER));
-        Old::Serves
+        let reason =
+            self.refusal_reason.map_or_else(|| format!("this one speaks version {VERSION}"), str::to_owned);
+        tracing::warn!(target: "upgrade", process, "it is refused: {reason}");
+        // An error means that the new process is gone.
+        let _ = send(&stream, &Frame::Refused(reason), &[], self.deadline_after(REQUEST_TIMEOUT));
+        OldPhase::Serving
     }
 
-    fn settle(&self, state: Old, stream: UnixStream) -> Old {
+    /// Carries out a handover that was requested on `stream`; returns the phase of this process if the handover
+    /// fails, and does not return if it succeeds.
+    fn hand_over(&self, phase: OldPhase, stream: UnixStream) -> OldPhase {
         let (courier, owner) = (self.courier.clone(), self.owner.clone());
-        let (serving, hand) = (self.serving.clone(), self.hand.clone());
+        let (serving, overrides) = (self.serving.clone(), self.overrides.clone());
         let stream = Arc::new(stream);
-        let (said, word) = bounded(1);
-        let ours = stream.clone();
-        // Danger: told to stop waiting, an acceptor that gets there late must not hand anything over.
-        let late = Arc::new(AtomicBool::new(false));
-        let too_late = late.clone();
-        let pass = move |listener: BorrowedFd, seats: &[(BorrowedFd, ExportedConnection)]| {
-            if too_late.swap(true, Ordering::SeqCst) {
+        let (result_sender, result) = bounded(1);
+        let acceptor_stream = stream.clone();
+        // Set by whichever comes first: the acceptor, which then passes the connections, or the timeout. An acceptor
+        // that gets there after the timeout must not pass anything.
+        let claimed = Arc::new(AtomicBool::new(false));
+        let claimed_by_acceptor = claimed.clone();
+        let hand_over = move |listener: BorrowedFd, connections: &[(BorrowedFd, ExportedConnection)]| {
+            if claimed_by_acceptor.swap(true, Ordering::SeqCst) {
                 return false;
             }
-            let mut state = state;
-            // Danger: what the journal has in memory only would be lost to the other process.
+            let mut phase = phase;
+            // The new process reads the journal from disk: records that are only in memory would be lost.
             if !courier.journal_written() {
-                state.hear(Heard::Settled(false));
-                let why = Frame::No("its journal can't be written".into());
-                // An error says that it is gone.
-                let _ = send(&ours, &why, &[], courier.clock.instant(courier.clock.now() + ANSWER));
-                return said.send((state, None)).is_err();
+                phase.handle(OldEvent::Quiesced(false));
+                let refusal = Frame::Refused("its journal can't be written".into());
+                // An error means that the new process is gone.
+                let _ = send(
+                    &acceptor_stream,
+                    &refusal,
+                    &[],
+                    courier.clock.instant(courier.clock.now() + REQUEST_TIMEOUT),
+                );
+                return result_sender.send((phase, None)).is_err();
             }
-            let mut passed = courier.freeze();
-            passed.answering =
-                seats.iter().flat_map(|(_, words)| words.unconfirmed_messages.iter().copied()).collect();
-            state.hear(Heard::Settled(true));
-            let until = courier.clock.instant(courier.clock.now() + READY);
-            let heard = match pass_all(&ours, passed, listener, seats, until) {
-                Ok(Frame::Ready) => Heard::Ready,
-                _ => Heard::Broken,
+            let mut state = courier.freeze();
+            state.answering = connections
+                .iter()
+                .flat_map(|(_, exported)| exported.unconfirmed_messages.iter().copied())
+                .collect();
+            phase.handle(OldEvent::Quiesced(true));
+            let deadline = courier.clock.instant(courier.clock.now() + READY_TIMEOUT);
+            let event = match send_state(&acceptor_stream, state, listener, connections, deadline) {
+                Ok(Frame::Ready) => OldEvent::SuccessorReady,
+                _ => OldEvent::ChannelFailed,
             };
-            if state.hear(heard) != Do::LetGo {
+            if phase.handle(event) != OldAction::ReleaseOwnership {
                 courier.thaw();
-                return said.send((state, None)).is_err();
+                return result_sender.send((phase, None)).is_err();
             }
-            let (over, ends) = unbounded();
+            let (end_sender, ends) = unbounded();
             serving.store(false, Ordering::SeqCst);
-            hand.close();
-            courier.hand_over(over);
+            overrides.close();
+            courier.hand_over(end_sender);
             drop(owner.lock().unwrap_or_else(PoisonError::into_inner).take());
-            // An error says that the other is gone; the folder is free for the next one.
-            let _ = send(&ours, &Frame::Yours, &[], until);
-            drop(said.send((state, Some(ends))));
+            // An error means that the new process is gone; the folder is free for the next one.
+            let _ = send(&acceptor_stream, &Frame::OwnershipReleased, &[], deadline);
+            drop(result_sender.send((phase, Some(ends))));
             true
         };
-        let parked = self.door.hand_over(Box::new(pass));
-        let (state, ends) = match parked.map(|()| word.recv_timeout(Duration::from_micros(SETTLE.0))) {
+        let requested = self.acceptor.hand_over(Box::new(hand_over));
+        let (phase, ends) = match requested
+            .map(|()| result.recv_timeout(Duration::from_micros(QUIESCE_TIMEOUT.0)))
+        {
             Ok(Ok(done)) => done,
-            _ if !late.swap(true, Ordering::SeqCst) => {
-                tracing::warn!(target: "upgrade", "the sessions could not be brought to rest; this process serves on");
+            _ if !claimed.swap(true, Ordering::SeqCst) => {
+                tracing::warn!(target: "upgrade", "the client connections could not be paused in time; this process keeps serving");
                 let _ = send(
                     &stream,
-                    &Frame::No("it could not be brought to rest".into()),
+                    &Frame::Refused("it could not be brought to rest".into()),
                     &[],
-                    self.within(ANSWER),
+                    self.deadline_after(REQUEST_TIMEOUT),
                 );
-                return Old::Serves;
+                return OldPhase::Serving;
             }
-            // It is at it.
-            _ => match word.recv() {
+            // The acceptor has begun to pass the connections, so its result follows.
+            _ => match result.recv() {
                 Ok(done) => done,
-                Err(_) => return Old::Serves,
+                Err(_) => return OldPhase::Serving,
             },
         };
         let Some(ends) = ends else {
             tracing::warn!(target: "upgrade", "the new process did not take over; this one serves on");
-            return state;
+            return phase;
         };
         tracing::info!(target: "upgrade", "handed over");
-        tell_ends(&self.courier, &stream, &ends);
-        self.told.store(true, Ordering::SeqCst);
-        // The other process takes the end of the stream for the end of this one.
+        forward_call_ends(&self.courier, &stream, &ends);
+        self.ends_forwarded.store(true, Ordering::SeqCst);
+        // The stream stays open as long as this process runs: the new one takes its end for the exit of this process.
         loop {
             std::thread::park();
         }
     }
 }
 
-/// Sends all, and hears the other's word for it.
-fn pass_all(
-    stream: &UnixStream, passed: HandoverState, listener: BorrowedFd,
-    seats: &[(BorrowedFd, ExportedConnection)], until: Instant,
+/// Sends the complete state; returns the answer of the new process.
+fn send_state(
+    stream: &UnixStream, state: HandoverState, listener: BorrowedFd,
+    connections: &[(BorrowedFd, ExportedConnection)], deadline: Instant,
 ) -> io::Result<Frame> {
-    send(stream, &Frame::Core(Box::new(passed)), &[listener], until)?;
-    for some in seats.chunks(FDS_MOST) {
-        let (fds, words): (Vec<BorrowedFd>, Vec<ExportedConnection>) = some.iter().cloned().unzip();
-        send(stream, &Frame::Seats(words), &fds, until)?;
+    send(stream, &Frame::CoreState(Box::new(state)), &[listener], deadline)?;
+    for chunk in connections.chunks(MAX_FRAME_FDS) {
+        let (fds, exported): (Vec<BorrowedFd>, Vec<ExportedConnection>) = chunk.iter().cloned().unzip();
+        send(stream, &Frame::Connections(exported), &fds, deadline)?;
     }
-    send(stream, &Frame::Whole, &[], until)?;
-    hear(stream, until).map(|(frame, _)| frame)
+    send(stream, &Frame::StateComplete, &[], deadline)?;
+    receive(stream, deadline).map(|(frame, _)| frame)
 }
 
-/// Until the last has been told.
-fn tell_ends(courier: &Courier, stream: &UnixStream, ends: &Receiver<crate::core::handover::CompletedCall>) {
-    for over in ends {
-        let until = courier.clock.instant(courier.clock.now() + READY);
-        if send(stream, &Frame::Over(over), &[], until).is_err() {
-            return; // the other is gone; the journal says what may have run
+/// Sends the ends of the calls in flight to the new process, until the last call has ended.
+fn forward_call_ends(courier: &Courier, stream: &UnixStream, ends: &Receiver<CompletedCall>) {
+    for completed in ends {
+        let deadline = courier.clock.instant(courier.clock.now() + READY_TIMEOUT);
+        if send(stream, &Frame::CallCompleted(completed), &[], deadline).is_err() {
+            return; // the new process is gone; the journal has the calls that may have run
         }
     }
 }
 
-// ---- The process that wants to serve ----
+// ---- The new process ----
 
-/// What was taken over.
-pub struct Taken {
-    /// For the core.
-    pub passed: HandoverState,
-    /// The listener, and the sessions.
+/// What the new process received from the old one.
+pub struct Inherited {
+    /// The state of the core.
+    pub state: HandoverState,
+    /// The listener for clients.
     pub listener: Option<TcpListener>,
-    /// See there.
-    pub sessions: Vec<(OwnedFd, ExportedConnection)>,
-    /// Where the ends of calls come from that are still out.
-    pub ends: UnixStream,
+    /// The client connections, each with its descriptor.
+    pub connections: Vec<(OwnedFd, ExportedConnection)>,
+    /// The stream on which the old process reports the ends of its calls in flight.
+    pub call_ends: UnixStream,
 }
 
-/// Claims a folder, from the process that owns it if there is one and it hands over.
-pub fn claim(dir: &Path, clock: &Clock, can_ask: bool) -> Result<(Owner, Option<Taken>), String> {
-    let give_up = Instant::now() + ASK;
-    let mut state = New::Asks;
+/// Claims a folder. If another process owns it and `can_request` is set, requests a handover from that process.
+pub fn claim_folder(
+    dir: &Path, clock: &Clock, can_request: bool,
+) -> Result<(Owner, Option<Inherited>), String> {
+    let give_up_at = Instant::now() + CLAIM_TIMEOUT;
+    let mut phase = NewPhase::Requesting;
     loop {
         let owned = match owner::claim(dir, clock.now(), 0) {
             Ok(owner) => return Ok((owner, None)),
-            Err(e @ Refusal::Owned(_)) if can_ask => e,
+            Err(e @ Refusal::Owned(_)) if can_request => e,
             Err(e) => return Err(e.to_string()),
         };
-        let mut said = Vec::new();
-        match ask(dir, &mut state, &mut said) {
-            Ok(Some(taken)) => {
-                // It has let go of the lock before it said so.
+        let mut errors = Vec::new();
+        match request_handover(dir, &mut phase, &mut errors) {
+            Ok(Some(inherited)) => {
+                // The old process released the lock before it reported the release.
                 let owner = owner::claim(dir, clock.now(), 0).map_err(|e| e.to_string())?;
-                return Ok((owner, Some(taken)));
+                return Ok((owner, Some(inherited)));
             }
             Ok(None) => {}
-            Err(why) => return Err(format!("{owned}, and hands nothing over: {why}")),
+            Err(reason) => return Err(format!("{owned}, and the handover failed: {reason}")),
         }
-        if Instant::now() >= give_up {
-            state.hear(Said::TooLong);
-            let said = said.pop().unwrap_or_else(|| "it does not answer".to_owned());
-            return Err(format!("{owned}, and hands nothing over: {said}"));
+        if Instant::now() >= give_up_at {
+            phase.handle(NewEvent::TimedOut);
+            let error = errors.pop().unwrap_or_else(|| "it does not answer".to_owned());
+            return Err(format!("{owned}, and the handover failed: {error}"));
         }
-        std::thread::sleep(ASK_AGAIN);
+        std::thread::sleep(RETRY_INTERVAL);
     }
 }
 
-/// Asks once. `None`: the folder may be free, or can be asked for again.
-fn ask(dir: &Path, state: &mut New, said: &mut Vec<String>) -> Result<Option<Taken>, String> {
-    let mut again = |state: &mut New, e: io::Error| {
-        said.push(e.to_string());
-        state.hear(Said::Broken);
+/// Requests the handover once. `Ok(None)` means that the attempt failed, its error is in `errors`, and the caller may
+/// try again, as the folder may be free by then. `Err` is the reason for which the old process refused.
+fn request_handover(
+    dir: &Path, phase: &mut NewPhase, errors: &mut Vec<String>,
+) -> Result<Option<Inherited>, String> {
+    let mut retry = |phase: &mut NewPhase, e: io::Error| {
+        errors.push(e.to_string());
+        phase.handle(NewEvent::ChannelFailed);
         Ok(None)
     };
-    let soon = || Instant::now() + WORD;
-    let opened = short(dir, SOCKET).and_then(|at| UnixStream::connect(&at.path));
-    let stream = match opened {
+    let frame_deadline = || Instant::now() + FRAME_TIMEOUT;
+    let connected = short_path(dir, SOCKET_NAME).and_then(|socket| UnixStream::connect(&socket.path));
+    let stream = match connected {
         Ok(stream) => stream,
-        Err(e) => return again(state, e),
+        Err(e) => return retry(phase, e),
     };
-    let asked = send(&stream, &Frame::Ask { version: VERSION, process: std::process::id() }, &[], soon());
-    if let Err(e) = asked {
-        return again(state, e);
+    let requested = send(
+        &stream,
+        &Frame::Request { version: VERSION, process: std::process::id() },
+        &[],
+        frame_deadline(),
+    );
+    if let Err(e) = requested {
+        return retry(phase, e);
     }
-    let (mut passed, mut listener, mut sessions) = (None, None, Vec::new());
+    let (mut state, mut listener, mut connections) = (None, None, Vec::new());
     loop {
-        let (frame, fds) = match hear(&stream, soon()) {
-            Ok(heard) => heard,
-            Err(e) => return again(state, e),
+        let (frame, fds) = match receive(&stream, frame_deadline()) {
+            Ok(received) => received,
+            Err(e) => return retry(phase, e),
         };
-        let next = match frame {
-            Frame::No(why) => {
-                state.hear(Said::No);
-                return Err(why);
+        let action = match frame {
+            Frame::Refused(reason) => {
+                phase.handle(NewEvent::Refused);
+                return Err(reason);
             }
-            Frame::Core(core) => {
-                passed = Some(*core);
+            Frame::CoreState(core) => {
+                state = Some(*core);
                 listener = fds.into_iter().next().map(TcpListener::from);
-                state.hear(Said::Passing)
+                phase.handle(NewEvent::StateReceived)
             }
-            Frame::Seats(words) => {
-                sessions.extend(fds.into_iter().zip(words));
-                state.hear(Said::Passing)
+            Frame::Connections(exported) => {
+                connections.extend(fds.into_iter().zip(exported));
+                phase.handle(NewEvent::StateReceived)
             }
-            Frame::Whole if passed.is_some() => state.hear(Said::Whole),
-            Frame::Yours => state.hear(Said::Yours),
-            _ => return again(state, ErrorKind::InvalidData.into()),
+            Frame::StateComplete if state.is_some() => phase.handle(NewEvent::StateComplete),
+            Frame::OwnershipReleased => phase.handle(NewEvent::OwnershipReleased),
+            _ => return retry(phase, ErrorKind::InvalidData.into()),
         };
-        match (next, passed.take()) {
-            (Next::GoOn, Some(passed)) => {
-                return Ok(Some(Taken { passed, listener, sessions, ends: stream }))
+        match (action, state.take()) {
+            (NewAction::TakeOver, Some(state)) => {
+                return Ok(Some(Inherited { state, listener, connections, call_ends: stream }))
             }
-            (Next::SayReady, core) => {
-                passed = core;
-                if let Err(e) = send(&stream, &Frame::Ready, &[], soon()) {
-                    return again(state, e);
+            (NewAction::SendReady, core) => {
+                state = core;
+                if let Err(e) = send(&stream, &Frame::Ready, &[], frame_deadline()) {
+                    return retry(phase, e);
                 }
             }
-            (Next::Read, core) => passed = core,
-            _ => return again(state, ErrorKind::InvalidData.into()),
+            (NewAction::Receive, core) => state = core,
+            _ => return retry(phase, ErrorKind::InvalidData.into()),
         }
     }
 }
 
-/// Hears how the calls end that the other process has out.
-pub fn follow(courier: &Arc<Courier>, ends: UnixStream) -> io::Result<()> {
+/// Starts a thread that receives the ends of the calls that the old process has in flight.
+pub fn follow_call_ends(courier: &Arc<Courier>, call_ends: UnixStream) -> io::Result<()> {
     let courier = courier.clone();
     spawn("upgrade-ends", move || {
-        // Longer than any message lives; its process ends long before.
-        let until = courier.clock.instant(courier.clock.now() + Micros(24 * 3600 * 1_000_000));
-        while let Ok((Frame::Over(over), _)) = hear(&ends, until) {
-            courier.complete_inherited_call(over);
+        // Longer than the lifetime of any message; the old process ends long before.
+        let deadline = courier.clock.instant(courier.clock.now() + Micros(24 * 3600 * 1_000_000));
+        while let Ok((Frame::CallCompleted(completed), _)) = receive(&call_ends, deadline) {
+            courier.complete_inherited_call(completed);
         }
         let lost = courier.abandon_inherited_calls();
         tracing::info!(target: "upgrade", lost, "the process before has ended");
--- a/src/upgrade/phase.rs
+++ b/src/upgrade/phase.rs
@@ -1,137 +1,152 @@
-//! The two sides of a hand-over as machines without I/O, clock or threads: what each has heard goes in, what it does next
-//! comes out. `tests/upgrade_model.rs` explores every order of events, with either side killed and the channel cut anywhere.
+//! The state machines of the two processes of a handover, without I/O, clock or threads: each takes an event and
+//! returns the next action. `tests/upgrade_model.rs` checks every order of events, with either process killed and the
+//! channel cut at any point.
 //!
-//! The rules: the folder's lock has one holder at a time, and only its holder decides; the predecessor lets go of it in one
-//! step, after the successor has said that it has everything, and never takes it up again; whatever goes wrong before that
-//! step leaves the predecessor serving as if nothing had been.
+//! The rules: the folder's lock has one holder at a time, and only its holder makes decisions. The old process
+//! releases the lock in one step, after the new process has confirmed that it has the complete state, and never takes
+//! the lock again. If anything fails before that step, the old process keeps serving as if no handover had been
+//! requested.
 
-/// Format of what is passed; another one is refused.
+/// The version of the handover protocol. A request of any other version is refused.
 pub const VERSION: u32 = 1;
 
-/// The process that serves until now.
+/// The phase of the process that serves before the handover.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Old {
-    /// It decides.
-    Serves,
-    /// It has been asked, and brings all to rest.
-    Settles,
-    /// All is passed; nothing is decided until the other has it, or until this gives up.
-    Waits,
-    /// The other decides.
-    Left,
+pub enum OldPhase {
+    /// It serves and makes all decisions.
+    Serving,
+    /// A handover was requested; its connection acceptor and its core are being paused.
+    Quiescing,
+    /// The state is sent; nothing is decided until the new process confirms it or this process gives up.
+    AwaitingReady,
+    /// The new process makes all decisions.
+    HandedOver,
 }
 
-/// What the old process hears.
+/// An event of the old process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Heard {
-    /// Another process wants to take over, and speaks this version.
-    Asked(u32),
-    /// All is at rest, or (`false`) could not be brought there.
-    Settled(bool),
-    /// The other has all that was passed.
-    Ready,
-    /// The channel broke, nothing came in time, or what came makes no sense.
-    Broken,
+pub enum OldEvent {
+    /// Another process requests the handover with this protocol version.
+    Requested(u32),
+    /// The attempt to pause the process succeeded (`true`) or failed (`false`).
+    Quiesced(bool),
+    /// The new process has received the complete state.
+    SuccessorReady,
+    /// The channel failed, a deadline passed, or an unexpected frame arrived.
+    ChannelFailed,
 }
 
-/// What the old process does.
+/// The next action of the old process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Do {
-    /// Nothing more.
+pub enum OldAction {
+    /// Do nothing.
     Nothing,
-    /// Tell the other that it can't be.
+    /// Refuse the request.
     Refuse,
-    /// Park the lobbies and freeze the core.
-    Settle,
-    /// Send everything.
-    Pass,
-    /// Go on as if nothing had been.
-    TakeUp,
-    /// Close the journal, let the lock go, say so.
-    LetGo,
+    /// Pause the connection acceptor and freeze the core.
+    Quiesce,
+    /// Send the complete state.
+    SendState,
+    /// Resume service as if no handover had been requested.
+    Resume,
+    /// Close the journal, release the lock and tell the new process so.
+    ReleaseOwnership,
 }
 
-impl Old {
-    /// See the module.
-    pub fn hear(&mut self, heard: Heard) -> Do {
-        let (next, act) = match (*self, heard) {
-            (Old::Serves, Heard::Asked(VERSION)) => (Old::Settles, Do::Settle),
-            (Old::Serves, Heard::Asked(_)) => (Old::Serves, Do::Refuse),
-            (Old::Settles, Heard::Settled(true)) => (Old::Waits, Do::Pass),
-            (Old::Settles, Heard::Settled(false)) => (Old::Serves, Do::Refuse),
-            (Old::Waits, Heard::Ready) => (Old::Left, Do::LetGo),
-            (Old::Settles | Old::Waits, Heard::Broken) => (Old::Serves, Do::TakeUp),
-            // Danger: one that has let go must never take up again: the other may have decided already.
-            (Old::Left, _) => (Old::Left, Do::Nothing),
-            (state, _) => (state, Do::Nothing),
+impl OldPhase {
+    /// Processes an event: moves to the next phase and returns the action to take.
+    pub fn handle(&mut self, event: OldEvent) -> OldAction {
+        let (next, action) = match (*self, event) {
+            (OldPhase::Serving, OldEvent::Requested(VERSION)) => (OldPhase::Quiescing, OldAction::Quiesce),
+            (OldPhase::Serving, OldEvent::Requested(_)) => (OldPhase::Serving, OldAction::Refuse),
+            (OldPhase::Quiescing, OldEvent::Quiesced(true)) => {
+                (OldPhase::AwaitingReady, OldAction::SendState)
+            }
+            (OldPhase::Quiescing, OldEvent::Quiesced(false)) => (OldPhase::Serving, OldAction::Refuse),
+            (OldPhase::AwaitingReady, OldEvent::SuccessorReady) => {
+                (OldPhase::HandedOver, OldAction::ReleaseOwnership)
+            }
+            (OldPhase::Quiescing | OldPhase::AwaitingReady, OldEvent::ChannelFailed) => {
+                (OldPhase::Serving, OldAction::Resume)
+            }
+            // After the release this process never resumes service, as the new process may already have made decisions.
+            (OldPhase::HandedOver, _) => (OldPhase::HandedOver, OldAction::Nothing),
+            (phase, _) => (phase, OldAction::Nothing),
         };
         *self = next;
-        act
+        action
     }
 }
 
-/// The process that wants to serve.
+/// The phase of the process that wants to take over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum New {
-    /// Tries to claim the folder, and asks its owner.
-    Asks,
-    /// Takes in what is passed.
-    Reads,
-    /// Has everything, and has said so.
+pub enum NewPhase {
+    /// It tries to claim the folder and requests a handover from the owner.
+    Requesting,
+    /// It receives the state.
+    Receiving,
+    /// It has the complete state and has confirmed this.
     Ready,
-    /// May claim the folder and go on with what was passed.
-    Owns,
-    /// Gives up, with one line.
-    Fails,
+    /// It may claim the folder and continue from the received state.
+    Owner,
+    /// It gives up and ends with a one-line error.
+    Failed,
 }
 
-/// What the new process hears.
+/// An event of the new process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Said {
-    /// Something is being passed.
-    Passing,
-    /// All of it is there.
-    Whole,
-    /// The folder is its own.
-    Yours,
-    /// The old process says that it can't be.
-    No,
-    /// The channel broke, or nothing came in time.
-    Broken,
-    /// It has asked for as long as it may.
-    TooLong,
+pub enum NewEvent {
+    /// A part of the state arrived.
+    StateReceived,
+    /// The state is complete.
+    StateComplete,
+    /// The old process has released the folder.
+    OwnershipReleased,
+    /// The old process refused the request.
+    Refused,
+    /// The channel failed, or a deadline passed.
+    ChannelFailed,
+    /// The time for requests is over.
+    TimedOut,
 }
 
-/// What the new process does.
+/// The next action of the new process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Next {
-    /// Goes on reading.
-    Read,
-    /// Says that it has everything.
-    SayReady,
-    /// Claims the folder and goes on with what was passed.
-    GoOn,
-    /// Drops what was passed; tries to claim the folder as after a kill, and asks again if it is owned.
-    Again,
-    /// Ends.
-    End,
+pub enum NewAction {
+    /// Receive the next frame.
+    Receive,
+    /// Confirm that the state is complete.
+    SendReady,
+    /// Claim the folder and continue from the received state.
+    TakeOver,
+    /// Drop the received state; try to claim the folder as after a kill, and repeat the request if the folder is owned.
+    Retry,
+    /// Exit.
+    Exit,
 }
 
-impl New {
-    /// See the module.
-    pub fn hear(&mut self, said: Said) -> Next {
-        let (next, act) = match (*self, said) {
-            (New::Asks | New::Reads, Said::Passing) => (New::Reads, Next::Read),
-            (New::Reads, Said::Whole) => (New::Ready, Next::SayReady),
-            (New::Ready, Said::Yours) => (New::Owns, Next::GoOn),
-            (New::Owns, _) => (New::Owns, Next::GoOn),
-            (New::Fails, _) | (_, Said::No | Said::TooLong) => (New::Fails, Next::End),
-            // Danger: without that word the old process may have taken up service, and decided, since it passed this. So
-            // what was passed is worth nothing, even where the lock turns out to be free.
-            (New::Asks | New::Reads | New::Ready, _) => (New::Asks, Next::Again),
+impl NewPhase {
+    /// Processes an event: moves to the next phase and returns the action to take.
+    pub fn handle(&mut self, event: NewEvent) -> NewAction {
+        let (next, action) = match (*self, event) {
+            (NewPhase::Requesting | NewPhase::Receiving, NewEvent::StateReceived) => {
+                (NewPhase::Receiving, NewAction::Receive)
+            }
+            (NewPhase::Receiving, NewEvent::StateComplete) => (NewPhase::Ready, NewAction::SendReady),
+            (NewPhase::Ready, NewEvent::OwnershipReleased) => (NewPhase::Owner, NewAction::TakeOver),
+            (NewPhase::Owner, _) => (NewPhase::Owner, NewAction::TakeOver),
+            (NewPhase::Failed, _) | (_, NewEvent::Refused | NewEvent::TimedOut) => {
+                (NewPhase::Failed, NewAction::Exit)
+            }
+            // Without the confirmed release, the old process may have resumed service and made decisions after it
+            // sent the state. The received state may thus be outdated, and is dropped even if the lock turns out to
+            // be free.
+            (NewPhase::Requesting | NewPhase::Receiving | NewPhase::Ready, _) => {
+                (NewPhase::Requesting, NewAction::Retry)
+            }
         };
         *self = next;
-        act
+        action
     }
 }
 
@@ -140,35 +155,46 @@
     use super::*;
 
     #[test]
-    fn a_hand_over_goes_through_and_is_never_taken_back() {
-        let mut old = Old::Serves;
-        assert_eq!(old.hear(Heard::Ready), Do::Nothing, "nobody has asked");
-        assert_eq!(old.hear(Heard::Asked(VERSION + 1)), Do::Refuse);
-        assert_eq!(old.hear(Heard::Asked(VERSION)), Do::Settle);
-        assert_eq!(old.hear(Heard::Settled(true)), Do::Pass);
-        assert_eq!(old.hear(Heard::Ready), Do::LetGo);
-        assert_eq!(old.hear(Heard::Broken), Do::Nothing);
-        assert_eq!(old.hear(Heard::Asked(VERSION)), Do::Nothing);
-        let mut new = New::Asks;
-        let said = [Said::Passing, Said::Passing, Said::Whole, Said::Yours].map(|said| new.hear(said));
-        assert_eq!(said, [Next::Read, Next::Read, Next::SayReady, Next::GoOn]);
+    fn a_handover_completes_and_is_never_undone() {
+        let mut old = OldPhase::Serving;
+        assert_eq!(old.handle(OldEvent::SuccessorReady), OldAction::Nothing, "no handover was requested");
+        assert_eq!(old.handle(OldEvent::Requested(VERSION + 1)), OldAction::Refuse);
+        assert_eq!(old.handle(OldEvent::Requested(VERSION)), OldAction::Quiesce);
+        assert_eq!(old.handle(OldEvent::Quiesced(true)), OldAction::SendState);
+        assert_eq!(old.handle(OldEvent::SuccessorReady), OldAction::ReleaseOwnership);
+        assert_eq!(old.handle(OldEvent::ChannelFailed), OldAction::Nothing);
+        assert_eq!(old.handle(OldEvent::Requested(VERSION)), OldAction::Nothing);
+        let mut new = NewPhase::Requesting;
+        let events = [
+            NewEvent::StateReceived,
+            NewEvent::StateReceived,
+            NewEvent::StateComplete,
+            NewEvent::OwnershipReleased,
+        ];
+        let actions = events.map(|event| new.handle(event));
+        let expected = [NewAction::Receive, NewAction::Receive, NewAction::SendReady, NewAction::TakeOver];
+        assert_eq!(actions, expected);
     }
 
     #[test]
-    fn what_breaks_before_the_step_leaves_the_old_one_serving() {
-        for at in 1..3 {
-            let mut old = Old::Serves;
-            let all = [Heard::Asked(VERSION), Heard::Settled(true)];
-            for heard in &all[..at] {
-                old.hear(*heard);
+    fn a_failure_before_the_release_leaves_the_old_process_serving() {
+        for failed_after in 1..3 {
+            let mut old = OldPhase::Serving;
+            let events = [OldEvent::Requested(VERSION), OldEvent::Quiesced(true)];
+            for event in &events[..failed_after] {
+                old.handle(*event);
             }
-            assert_eq!((old.hear(Heard::Broken), old), (Do::TakeUp, Old::Serves));
+            assert_eq!((old.handle(OldEvent::ChannelFailed), old), (OldAction::Resume, OldPhase::Serving));
         }
-        let mut new = New::Asks;
-        for said in [Said::Passing, Said::Whole] {
-            new.hear(said);
+        let mut new = NewPhase::Requesting;
+        for event in [NewEvent::StateReceived, NewEvent::StateComplete] {
+            new.handle(event);
         }
-        assert_eq!((new.hear(Said::Broken), new), (Next::Again, New::Asks));
-        assert_eq!(new.hear(Said::Yours), Next::Again, "said to another, long ago");
+        assert_eq!((new.handle(NewEvent::ChannelFailed), new), (NewAction::Retry, NewPhase::Requesting));
+        assert_eq!(
+            new.handle(NewEvent::OwnershipReleased),
+            NewAction::Retry,
+            "a release of an earlier request"
+        );
     }
 }
--- a/tests/upgrade_model.rs
+++ b/tests/upgrade_model.rs
@@ -1,17 +1,18 @@
-//! The hand-over under every interleaving: the two real machines of `upgrade::phase`, a channel that is cut anywhere, words
-//! that come late, and either process killed or ended at any moment. What surrounds them is a small stand-in for the lock and
-//! for the core, which follow the same order: the lock goes before `Yours` is said, and who holds it decides.
+//! Model check of the handover under every interleaving: a channel that is cut at any point, frames that arrive late,
+//! and either process killed or ended at any moment. The two state machines are the real ones of `upgrade::phase`.
+//! The folder's lock and the core are small substitutes with the same order of events: the lock is released before
+//! `OwnershipReleased` is sent, and only the holder of the lock decides.
 
-use indigohold::upgrade::phase::{Do, Heard, New, Next, Old, Said, VERSION};
+use indigohold::upgrade::phase::{NewAction, NewEvent, NewPhase, OldAction, OldEvent, OldPhase, VERSION};
 use stateright::{Checker, Model, Property};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Word {
-    Ask,
-    Passing,
-    Whole,
+enum Message {
+    Request,
+    State,
+    StateComplete,
     Ready,
-    Yours,
+    OwnershipReleased,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -21,254 +22,264 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct World {
-    old: Old,
-    new: New,
+struct State {
+    old: OldPhase,
+    new: NewPhase,
     old_lives: bool,
     new_lives: bool,
-    /// Who holds the folder's lock.
+    /// The holder of the folder's lock.
     lock: Option<Side>,
-    /// The old process decides nothing while it passes.
+    /// Whether the old process is frozen: it decides nothing while it hands over.
     frozen: bool,
-    /// Both ends of the channel: what is under way to each, and whether it is open.
-    to_old: Vec<Word>,
-    to_new: Vec<Word>,
-    open: bool,
-    asks: u8,
-    /// Steps of the books: raised with each decision, and what the passed copy was as of.
-    books: u8,
-    copy: u8,
-    fault: Option<&'static str>,
+    /// The messages in transit to each side, and whether the channel is open.
+    to_old: Vec<Message>,
+    to_new: Vec<Message>,
+    channel_open: bool,
+    requests: u8,
+    /// The version of the core's state, which each decision raises, and the version that was sent to the new process.
+    state_version: u8,
+    sent_version: u8,
+    violation: Option<&'static str>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Act {
+enum Step {
     Decide(Side),
     Claim,
-    Ask,
-    OldHears,
-    OldRests(bool),
-    OldGivesUp,
-    NewHears,
-    NewGivesUp,
+    Request,
+    OldReceives,
+    OldQuiesces(bool),
+    OldTimesOut,
+    NewReceives,
+    NewTimesOut,
     Cut,
     Kill(Side),
 }
 
-struct Whole;
+struct HandoverModel;
 
-impl World {
+impl State {
     fn cut(&mut self) {
-        self.open = false;
+        self.channel_open = false;
     }
 
-    fn old_does(&mut self, act: Do) {
-        match act {
-            Do::Settle => {}
-            Do::Pass => {
+    fn run_old_action(&mut self, action: OldAction) {
+        match action {
+            OldAction::Quiesce => {}
+            OldAction::SendState => {
                 self.frozen = true;
-                self.copy = self.books;
-                self.to_new.extend([Word::Passing, Word::Whole]);
+                self.sent_version = self.state_version;
+                self.to_new.extend([Message::State, Message::StateComplete]);
             }
-            Do::TakeUp => {
+            OldAction::Resume => {
                 self.frozen = false;
                 self.cut();
             }
-            Do::Refuse => self.cut(),
-            Do::LetGo => {
+            OldAction::Refuse => self.cut(),
+            OldAction::ReleaseOwnership => {
                 if self.lock == Some(Side::Old) {
                     self.lock = None;
                 }
-                self.to_new.push(Word::Yours);
+                self.to_new.push(Message::OwnershipReleased);
             }
-            Do::Nothing => {}
+            OldAction::Nothing => {}
         }
     }
 
-    fn new_does(&mut self, next: Next) {
-        match next {
-            Next::SayReady => self.to_old.push(Word::Ready),
-            Next::GoOn => {
+    fn run_new_action(&mut self, action: NewAction) {
+        match action {
+            NewAction::SendReady => self.to_old.push(Message::Ready),
+            NewAction::TakeOver => {
                 if self.lock.is_some() {
-                    self.fault = Some("told that the folder is its own, and it is not");
+                    self.violation = Some("the new process takes over while the folder is locked");
                 }
-                if self.copy != self.books {
-                    self.fault = Some("goes on with books that are not the last ones");
+                if self.sent_version != self.state_version {
+                    self.violation = Some("the new process continues from an outdated state");
                 }
                 self.lock = Some(Side::New);
             }
-            Next::Again => {
+            NewAction::Retry => {
                 self.cut();
                 self.to_new.clear();
             }
-            Next::Read | Next::End => {}
+            NewAction::Receive | NewAction::Exit => {}
         }
     }
 }
 
-impl Model for Whole {
-    type State = World;
-    type Action = Act;
+impl Model for HandoverModel {
+    type State = State;
+    type Action = Step;
 
-    fn init_states(&self) -> Vec<World> {
-        vec![World {
-            old: Old::Serves,
-            new: New::Asks,
+    fn init_states(&self) -> Vec<State> {
+        vec![State {
+            old: OldPhase::Serving,
+            new: NewPhase::Requesting,
             old_lives: true,
             new_lives: true,
             lock: Some(Side::Old),
             frozen: false,
             to_old: vec![],
             to_new: vec![],
-            open: false,
-            asks: 0,
-            books: 0,
-            copy: 0,
-            fault: None,
+            channel_open: false,
+            requests: 0,
+            state_version: 0,
+            sent_version: 0,
+            violation: None,
         }]
     }
 
-    fn actions(&self, w: &World, acts: &mut Vec<Act>) {
-        let serves = w.old_lives && w.old != Old::Left && !w.frozen;
-        if serves && w.books < 3 {
-            acts.push(Act::Decide(Side::Old));
+    fn actions(&self, state: &State, steps: &mut Vec<Step>) {
+        let old_decides = state.old_lives && state.old != OldPhase::HandedOver && !state.frozen;
+        if old_decides && state.state_version < 3 {
+            steps.push(Step::Decide(Side::Old));
         }
-        if w.new_lives && w.lock == Some(Side::New) && w.books < 3 {
-            acts.push(Act::Decide(Side::New));
+        if state.new_lives && state.lock == Some(Side::New) && state.state_version < 3 {
+            steps.push(Step::Decide(Side::New));
         }
-        if w.new_lives && w.new == New::Asks {
-            if w.lock.is_none() {
-                acts.push(Act::Claim);
-            } else if w.old_lives && w.asks < 2 && !w.open && w.old == Old::Serves {
-                acts.push(Act::Ask);
+        if state.new_lives && state.new == NewPhase::Requesting {
+            if state.lock.is_none() {
+                steps.push(Step::Claim);
+            } else if state.old_lives
+                && state.requests < 2
+                && !state.channel_open
+                && state.old == OldPhase::Serving
+            {
+                steps.push(Step::Request);
             }
         }
-        if w.old_lives && !w.to_old.is_empty() {
-            acts.push(Act::OldHears);
+        if state.old_lives && !state.to_old.is_empty() {
+            steps.push(Step::OldReceives);
         }
-        if w.old_lives && w.old == Old::Settles {
-            acts.extend([Act::OldRests(true), Act::OldRests(false)]);
+        if state.old_lives && state.old == OldPhase::Quiescing {
+            steps.extend([Step::OldQuiesces(true), Step::OldQuiesces(false)]);
         }
-        if w.old_lives && w.old == Old::Waits {
-            acts.push(Act::OldGivesUp);
+        if state.old_lives && state.old == OldPhase::AwaitingReady {
+            steps.push(Step::OldTimesOut);
         }
-        if w.new_lives && w.lock != Some(Side::New) {
-            if !w.to_new.is_empty() {
-                acts.push(Act::NewHears);
-            } else if matches!(w.new, New::Reads | New::Ready) || w.new == New::Asks && w.asks > 0 && w.open {
-                acts.push(Act::NewGivesUp);
+        if state.new_lives && state.lock != Some(Side::New) {
+            if !state.to_new.is_empty() {
+                steps.push(Step::NewReceives);
+            } else if matches!(state.new, NewPhase::Receiving | NewPhase::Ready)
+                || state.new == NewPhase::Requesting && state.requests > 0 && state.channel_open
+            {
+                steps.push(Step::NewTimesOut);
             }
         }
-        if w.open {
-            acts.push(Act::Cut);
+        if state.channel_open {
+            steps.push(Step::Cut);
         }
-        acts.extend(
+        steps.extend(
             [Side::Old, Side::New]
                 .into_iter()
-                .filter(|s| match s {
-                    Side::Old => w.old_lives,
-                    Side::New => w.new_lives,
+                .filter(|side| match side {
+                    Side::Old => state.old_lives,
+                    Side::New => state.new_lives,
                 })
-                .map(Act::Kill),
+                .map(Step::Kill),
         );
     }
 
-    fn next_state(&self, before: &World, act: Act) -> Option<World> {
-        let mut w = before.clone();
-        match act {
-            Act::Decide(side) => {
-                if w.lock != Some(side) {
-                    w.fault = Some("one decides that does not own");
+    fn next_state(&self, previous: &State, step: Step) -> Option<State> {
+        let mut state = previous.clone();
+        match step {
+            Step::Decide(side) => {
+                if state.lock != Some(side) {
+                    state.violation = Some("a process decides without the lock");
                 }
-                w.books += 1;
+                state.state_version += 1;
             }
-            Act::Claim => w.lock = Some(Side::New),
-            Act::Ask => {
-                (w.open, w.to_old, w.to_new) = (true, vec![Word::Ask], vec![]);
-                w.asks += 1;
+            Step::Claim => state.lock = Some(Side::New),
+            Step::Request => {
+                (state.channel_open, state.to_old, state.to_new) = (true, vec![Message::Request], vec![]);
+                state.requests += 1;
             }
-            Act::OldHears => {
-                let heard = match w.to_old.remove(0) {
-                    Word::Ask => Heard::Asked(VERSION),
-                    Word::Ready => Heard::Ready,
-                    _ => Heard::Broken,
+            Step::OldReceives => {
+                let event = match state.to_old.remove(0) {
+                    Message::Request => OldEvent::Requested(VERSION),
+                    Message::Ready => OldEvent::SuccessorReady,
+                    _ => OldEvent::ChannelFailed,
                 };
-                let act = w.old.hear(heard);
-                w.old_does(act);
+                let action = state.old.handle(event);
+                state.run_old_action(action);
             }
-            Act::OldRests(could) => {
-                let act = w.old.hear(Heard::Settled(could));
-                w.old_does(act);
+            Step::OldQuiesces(quiesced) => {
+                let action = state.old.handle(OldEvent::Quiesced(quiesced));
+                state.run_old_action(action);
             }
-            Act::OldGivesUp => {
-                let act = w.old.hear(Heard::Broken);
-                w.old_does(act);
+            Step::OldTimesOut => {
+                let action = state.old.handle(OldEvent::ChannelFailed);
+                state.run_old_action(action);
             }
-            Act::NewHears => {
-                let said = match w.to_new.remove(0) {
-                    Word::Passing => Said::Passing,
-                    Word::Whole => Said::Whole,
-                    Word::Yours => Said::Yours,
-                    _ => Said::Broken,
+            Step::NewReceives => {
+                let event = match state.to_new.remove(0) {
+                    Message::State => NewEvent::StateReceived,
+                    Message::StateComplete => NewEvent::StateComplete,
+                    Message::OwnershipReleased => NewEvent::OwnershipReleased,
+                    _ => NewEvent::ChannelFailed,
                 };
-                let next = w.new.hear(said);
-                w.new_does(next);
+                let action = state.new.handle(event);
+                state.run_new_action(action);
             }
-            Act::NewGivesUp => {
-                let next = w.new.hear(Said::Broken);
-                w.new_does(next);
+            Step::NewTimesOut => {
+                let action = state.new.handle(NewEvent::ChannelFailed);
+                state.run_new_action(action);
             }
-            // What is under way when a channel breaks may arrive or not.
-            Act::Cut => {
-                w.cut();
-                w.to_old.clear();
+            // Messages in transit to the new process may still arrive after the channel is cut.
+            Step::Cut => {
+                state.cut();
+                state.to_old.clear();
             }
-            Act::Kill(Side::Old) => {
-                w.old_lives = false;
-                w.cut();
-                if w.lock == Some(Side::Old) {
-                    w.lock = None;
+            Step::Kill(Side::Old) => {
+                state.old_lives = false;
+                state.cut();
+                if state.lock == Some(Side::Old) {
+                    state.lock = None;
                 }
             }
-            Act::Kill(Side::New) => {
-                w.new_lives = false;
-                w.cut();
-                w.to_new.clear();
-                if w.lock == Some(Side::New) {
-                    w.lock = None;
+            Step::Kill(Side::New) => {
+                state.new_lives = false;
+                state.cut();
+                state.to_new.clear();
+                if state.lock == Some(Side::New) {
+                    state.lock = None;
                 }
             }
         }
-        Some(w)
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("one owner, and it alone decides", |_, w: &World| w.fault.is_none()),
-            // Frozen for good: it waits for a word, and nothing ends the wait.
-            Property::always("a frozen one can give up", |_, w: &World| {
-                !w.old_lives || !w.frozen || matches!(w.old, Old::Waits | Old::Left)
+            Property::always("there is one owner, and only the owner decides", |_, s: &State| {
+                s.violation.is_none()
             }),
-            Property::always("never none for good", |_, w: &World| {
-                let new_can = w.new_lives && w.new != New::Fails;
-                let old_can = w.old_lives && w.old != Old::Left;
-                // One that has left has let go, so whoever comes next finds the folder free.
-                old_can || new_can || w.lock.is_none()
+            // In any other phase no timeout would end the freeze, and the process would stay frozen for good.
+            Property::always("a frozen process can give up", |_, s: &State| {
+                !s.old_lives || !s.frozen || matches!(s.old, OldPhase::AwaitingReady | OldPhase::HandedOver)
             }),
-            Property::sometimes("it is handed over", |_, w: &World| w.new == New::Owns && w.books > 0),
-            Property::sometimes("the old one takes up again", |_, w: &World| {
-                w.old == Old::Serves && w.asks > 0 && w.new == New::Ready
+            Property::always("the folder never stays without a possible owner", |_, s: &State| {
+                let new_can_own = s.new_lives && s.new != NewPhase::Failed;
+                let old_can_own = s.old_lives && s.old != OldPhase::HandedOver;
+                // A process that has handed over has released the lock, so the next process can claim the folder.
+                old_can_own || new_can_own || s.lock.is_none()
             }),
-            Property::sometimes("a kill frees it", |_, w: &World| {
-                !w.old_lives && w.lock == Some(Side::New) && w.new == New::Asks
+            Property::sometimes("a handover completes", |_, s: &State| {
+                s.new == NewPhase::Owner && s.state_version > 0
+            }),
+            Property::sometimes("the old process resumes service", |_, s: &State| {
+                s.old == OldPhase::Serving && s.requests > 0 && s.new == NewPhase::Ready
+            }),
+            Property::sometimes("a kill of the owner frees the folder", |_, s: &State| {
+                !s.old_lives && s.lock == Some(Side::New) && s.new == NewPhase::Requesting
             }),
         ]
     }
 }
 
 #[test]
-fn every_interleaving_keeps_one_owner() {
-    let checker = Whole.checker().threads(2).spawn_bfs().join();
+fn every_interleaving_has_a_single_owner() {
+    let checker = HandoverModel.checker().threads(2).spawn_bfs().join();
     checker.assert_properties();
     assert!(checker.unique_state_count() > 500, "{}", checker.unique_state_count());
 }
