--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -1,24 +1,27 @@
-//! Admission: which client connections hold a place, and who makes room for whom. No I/O, no clock, no threads: events go
-//! in with their time, decisions come out, so that floods can be played through in tests and in a model of arrivals.
+//! Admission of client connections: which of them hold one of the listener's places, and which is closed ("evicted") so
+//! that a new one can be accepted. The module does no I/O, reads no clock and starts no thread: it is told events with
+//! their time and returns decisions, so that floods of connections can be simulated in tests.
 //!
-//! A place is a descriptor. Connections are told apart by what they have shown, and only by that:
+//! A place is a file descriptor. Connections are distinguished by their [`ConnState`] and by their [`Source`], and by
+//! nothing else:
 //!
-//! | standing | what it is | makes room |
+//! | state | meaning | can be evicted |
 //! | --- | --- | --- |
-//! | silent | connected, nothing said | after `speak`; if nothing else is left, after `hurry` |
-//! | asking | a request has begun to come in | after `whole`; if nothing else is left, after `hurry` without a byte |
-//! | served | a whole request is being answered | never |
-//! | parting | said its last word, its end is awaited | at once |
-//! | faulty | its last request could not be used | at once |
-//! | once | asked once, and stays | after `rest` |
-//! | steady | asked more than once | after `rest`, after all of those that asked once |
+//! | silent | connected, no byte received | after `silent_grace`; after `urgent_grace` if there is no other candidate |
+//! | asking | part of a request was received | after `request_grace`; after `urgent_grace` without a byte if there is no other candidate |
+//! | served | a complete request is being answered | never |
+//! | parting | the last answer was sent, the client's end of stream is awaited | at once |
+//! | faulty | the last request could not be used | at once |
+//! | once | idle after one answered request | after `idle_grace` |
+//! | steady | idle after more than one answered request | after `idle_grace`, after all connections in state `once` |
 //!
-//! Danger: a client that connected just now and is closed before its answer has lost its message, if the last byte of it
-//! is written by then; so the young and silent are the last to make room, and one whose request is read whole never does.
+//! A client that connected recently loses its message if the connection is closed after the client has written its last
+//! byte and before it is answered. Recently connected silent connections are therefore evicted last, and a connection
+//! whose complete request was read is never evicted.
 //!
-//! **Bound.** Each standing but `served` makes room after some time, whatever its client does, and `served` lasts no longer
-//! than it takes to write an answer. So a newcomer finds a place within `hurry` of its turn, or within `whole` where
-//! clients send a byte now and then ([`Admission::wait_most`]).
+//! **Bound.** Each state except `served` becomes evictable after a bounded time whatever the client does, and `served`
+//! lasts no longer than it takes to write an answer. A new connection therefore gets a place within `urgent_grace` of its
+//! turn, or within `request_grace` if clients send single bytes at intervals ([`Admission::max_wait`]).
 
 pub mod config;
 
@@ -26,81 +29,91 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::{IpAddr, Ipv6Addr};
 
-/// What the operators or the deployment settle.
+/// Limits on the connections of one listener, from the operators' file and the resources of the deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
-    /// So many connections at most.
-    pub places: usize,
-    /// So many places are kept free of those that idle, for newcomers.
+    /// Most connections at a time.
+    pub max_connections: usize,
+    /// Places that idle connections may not keep: with no more than these free, a candidate for eviction is closed for
+    /// each new connection.
     pub reserve: usize,
-    /// A client that has said nothing for so long is not going to.
-    pub speak: Micros,
-    /// A request that is not whole after so long makes room, whatever still comes of it.
-    pub whole: Micros,
-    /// Where nothing better is left: who has been silent, or has sent no further byte, for so long.
-    pub hurry: Micros,
-    /// One that idles is left alone for so long: it may be about to ask again.
-    pub rest: Micros,
-    /// Room or not, one that has said nothing is closed after so long.
-    pub silent_most: Micros,
-    /// Room or not, a request that is not whole is given up after so long.
-    pub whole_most: Micros,
-    /// Room or not, one that idles is closed after so long.
-    pub idle_most: Micros,
-    /// A source that holds more than this share of all places makes room before others, while others are there.
-    pub source_share: f64,
+    /// Age from which a silent connection can be evicted.
+    pub silent_grace: Micros,
+    /// Time since the first byte from which an incomplete request can be evicted, whether more bytes arrive or not.
+    pub request_grace: Micros,
+    /// Time without a byte from which a silent connection or an incomplete request can be evicted if no place is free and
+    /// there is no other candidate. A connection that awaits its client's end of stream is closed after the same time.
+    pub urgent_grace: Micros,
+    /// Time from which an idle connection can be evicted. Until then its client may be about to send its next request.
+    pub idle_grace: Micros,
+    /// Age at which a silent connection is closed even if places are free, and the time after which one whose last request
+    /// could not be used is.
+    pub silent_timeout: Micros,
+    /// Time since the first byte at which an incomplete request is closed even if places are free.
+    pub request_timeout: Micros,
+    /// Time after which an idle connection is closed even if places are free.
+    pub idle_timeout: Micros,
+    /// While there are connections of other sources, those of a source that holds more than this share of all places are
+    /// evicted first.
+    pub max_source_share: f64,
 }
 
-/// What a connection has shown.
+/// State of a connection, by what its client has sent so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
-    /// Connected, and nothing said.
+pub enum ConnState {
+    /// Connected, no byte received.
     Silent,
-    /// A request has begun to come in.
-    Asking,
-    /// A whole request is being answered.
-    Served,
-    /// It has heard its last word.
-    Parting,
-    /// Its last request could not be used.
-    Faulty,
-    /// It asked once.
-    Once,
-    /// It asked more than once.
-    Steady,
+    /// Part of a request was received.
+    #[serde(rename = "asking")]
+    Receiving,
+    /// A complete request is being answered.
+    #[serde(rename = "served")]
+    Answering,
+    /// The last answer was sent, the client's end of stream is awaited.
+    #[serde(rename = "parting")]
+    Closing,
+    /// The last request could not be used.
+    #[serde(rename = "faulty")]
+    BadRequest,
+    /// Idle after one answered request.
+    #[serde(rename = "once")]
+    IdleAfterOne,
+    /// Idle after more than one answered request.
+    #[serde(rename = "steady")]
+    IdleAfterMore,
 }
 
-impl Standing {
-    /// All there are.
-    pub const ALL: [Standing; 7] = [
-        Standing::Silent,
-        Standing::Asking,
-        Standing::Served,
-        Standing::Parting,
-        Standing::Faulty,
-        Standing::Once,
-        Standing::Steady,
+impl ConnState {
+    /// All states.
+    pub const ALL: [ConnState; 7] = [
+        ConnState::Silent,
+        ConnState::Receiving,
+        ConnState::Answering,
+        ConnState::Closing,
+        ConnState::BadRequest,
+        ConnState::IdleAfterOne,
+        ConnState::IdleAfterMore,
     ];
 }
 
-/// Whether a newcomer may come in now.
+/// Whether a new connection can be accepted now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Entry {
-    /// There is a place.
-    Come,
-    /// There is one once this connection is closed.
-    After(u64),
-    /// There is none until then, at the latest.
-    Wait(Micros),
+pub enum Decision {
+    /// A place is free.
+    Accept,
+    /// A place is free once this connection is closed.
+    AcceptAfterClosing(u64),
+    /// No connection can be evicted before this time, unless one changes its state.
+    WaitUntil(Micros),
 }
 
-/// Where a connection comes from: an IPv4 address, or the 64 bits of an IPv6 address that name a network.
+/// Origin of a connection: an IPv4 address, or the network part of an IPv6 address (its first 64 bits).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Source(IpAddr);
 
 impl Source {
-    /// The source that an address belongs to.
+    /// The source of an address.
     pub fn of(addr: IpAddr) -> Source {
         match addr.to_canonical() {
             IpAddr::V4(addr) => Source(IpAddr::V4(addr)),
@@ -115,75 +128,76 @@
 #[derive(Debug, Clone, Copy)]
 struct Conn {
     source: Source,
-    standing: Standing,
-    /// Since when it stands so; for a request, when its first byte came.
-    since: Micros,
-    /// When its last byte came.
-    moved: Micros,
-    /// Requests that were answered.
-    asked: u32,
+    state: ConnState,
+    /// Time of the last change of state; for a request, the arrival of its first byte.
+    state_since: Micros,
+    /// Arrival of the last byte.
+    last_byte_at: Micros,
+    answered_requests: u32,
 }
 
-/// In the order of time, by standing. A request stands twice: by its first byte and by its last.
+/// Connections by state, in order of time. An incomplete request is in two queues: by its first byte and by its last.
 #[derive(Debug, Default)]
 struct Queues {
-    by_since: BTreeMap<Standing, BTreeSet<(Micros, u64)>>,
-    by_moved: BTreeSet<(Micros, u64)>,
+    by_state: BTreeMap<ConnState, BTreeSet<(Micros, u64)>>,
+    by_last_byte: BTreeSet<(Micros, u64)>,
     len: usize,
 }
 
 impl Queues {
-    fn put(&mut self, key: u64, conn: &Conn) {
+    fn insert(&mut self, key: u64, conn: &Conn) {
         self.len += 1;
-        self.by_since.entry(conn.standing).or_default().insert((conn.since, key));
-        if conn.standing == Standing::Asking {
-            self.by_moved.insert((conn.moved, key));
+        self.by_state.entry(conn.state).or_default().insert((conn.state_since, key));
+        if conn.state == ConnState::Receiving {
+            self.by_last_byte.insert((conn.last_byte_at, key));
         }
     }
 
-    fn take(&mut self, key: u64, conn: &Conn) {
+    fn remove(&mut self, key: u64, conn: &Conn) {
         self.len -= 1;
-        if let Some(queue) = self.by_since.get_mut(&conn.standing) {
-            queue.remove(&(conn.since, key));
+        if let Some(queue) = self.by_state.get_mut(&conn.state) {
+            queue.remove(&(conn.state_since, key));
         }
-        self.by_moved.remove(&(conn.moved, key));
+        self.by_last_byte.remove(&(conn.last_byte_at, key));
     }
 
-    fn first(&self, standing: Standing) -> Option<(Micros, u64)> {
-        self.by_since.get(&standing)?.first().copied()
+    fn oldest(&self, state: ConnState) -> Option<(Micros, u64)> {
+        self.by_state.get(&state)?.first().copied()
     }
 
-    /// Who makes room, best first: standing, and for how long it must have stood so.
-    fn spare(&self, now: Micros, rules: &Rules, hurry: bool) -> Option<u64> {
-        use Standing::*;
-        let gentle = [
-            (Parting, Micros(0)),
-            (Faulty, Micros(0)),
-            (Silent, rules.speak),
-            (Asking, rules.whole),
-            (Once, rules.rest),
-            (Steady, rules.rest),
+    /// The connection to evict now, if there is one. States are tried in the order of the list, each with the least time
+    /// in it; `urgent` allows connections that are only past `urgent_grace`.
+    fn eviction_candidate(&self, now: Micros, rules: &Rules, urgent: bool) -> Option<u64> {
+        use ConnState::*;
+        let grace_by_state = [
+            (Closing, Micros(0)),
+            (BadRequest, Micros(0)),
+            (Silent, rules.silent_grace),
+            (Receiving, rules.request_grace),
+            (IdleAfterOne, rules.idle_grace),
+            (IdleAfterMore, rules.idle_grace),
         ];
         let due =
             |at: Option<(Micros, u64)>, age: Micros| at.filter(|(since, _)| *since + age <= now).map(|f| f.1);
-        let found = gentle.iter().find_map(|(standing, age)| due(self.first(*standing), *age));
-        let last = || {
-            due(self.by_moved.first().copied(), rules.hurry).or_else(|| due(self.first(Silent), rules.hurry))
+        let candidate = grace_by_state.iter().find_map(|(state, age)| due(self.oldest(*state), *age));
+        let urgent_candidate = || {
+            due(self.by_last_byte.first().copied(), rules.urgent_grace)
+                .or_else(|| due(self.oldest(Silent), rules.urgent_grace))
         };
-        found.or_else(|| hurry.then(last).flatten())
+        candidate.or_else(|| urgent.then(urgent_candidate).flatten())
     }
 
-    /// When somebody will make room at the latest, if nothing happens.
-    fn spare_at(&self, rules: &Rules) -> Option<Micros> {
-        use Standing::*;
+    /// The time at which a connection can be evicted at the latest, if there is no further event.
+    fn next_eviction_at(&self, rules: &Rules) -> Option<Micros> {
+        use ConnState::*;
         let ages = [
-            (self.first(Parting), Micros(0)),
-            (self.first(Faulty), Micros(0)),
-            (self.first(Silent), rules.hurry.min(rules.speak)),
-            (self.first(Asking), rules.whole),
-            (self.by_moved.first().copied(), rules.hurry),
-            (self.first(Once), rules.rest),
-            (self.first(Steady), rules.rest),
+            (self.oldest(Closing), Micros(0)),
+            (self.oldest(BadRequest), Micros(0)),
+            (self.oldest(Silent), rules.urgent_grace.min(rules.silent_grace)),
+            (self.oldest(Receiving), rules.request_grace),
+            (self.by_last_byte.first().copied(), rules.urgent_grace),
+            (self.oldest(IdleAfterOne), rules.idle_grace),
+            (self.oldest(IdleAfterMore), rules.idle_grace),
         ];
         ages.into_iter().filter_map(|(first, age)| Some(first?.0 + age)).min()
     }
@@ -195,183 +209,211 @@
     rules: Rules,
     conns: HashMap<u64, Conn>,
     all: Queues,
-    sources: HashMap<Source, Queues>,
-    heaviest: BTreeSet<(usize, Source)>,
-    /// Fewer places, and until when.
-    squeezed: Option<(usize, Micros)>,
+    by_source: HashMap<Source, Queues>,
+    /// Each source with the number of its connections; the last has the most.
+    sources_by_count: BTreeSet<(usize, Source)>,
+    /// A temporary, lower limit on the connections, and when it ends.
+    temporary_limit: Option<(usize, Micros)>,
 }
 
 impl Admission {
-    /// Nobody is there yet.
+    /// A listener without connections.
     pub fn new(rules: Rules) -> Admission {
-        let (conns, sources) = (HashMap::new(), HashMap::new());
-        Admission { rules, conns, all: Queues::default(), sources, heaviest: BTreeSet::new(), squeezed: None }
+        let (conns, by_source) = (HashMap::new(), HashMap::new());
+        Admission {
+            rules,
+            conns,
+            all: Queues::default(),
+            by_source,
+            sources_by_count: BTreeSet::new(),
+            temporary_limit: None,
+        }
     }
 
-    /// There are no more places than are held now, for a while: no descriptor was free.
-    pub fn squeeze(&mut self, until: Micros) {
-        self.squeezed = Some((self.conns.len().max(1), until));
+    /// Limits connections to the present number until a time, because no descriptor was free.
+    pub fn limit_to_current(&mut self, until: Micros) {
+        self.temporary_limit = Some((self.conns.len().max(1), until));
     }
 
-    /// Something else in the process needs a descriptor: for a while there is one place less than are held now. Who is to
-    /// make room for it; nobody, where all are being served.
-    pub fn give_way(&mut self, now: Micros, until: Micros) -> Option<u64> {
-        self.squeezed = Some((self.conns.len().saturating_sub(1).max(1), until));
-        self.spare(now, true)
+    /// Limits connections to one less than the present number until a time, because another part of the process needs a
+    /// descriptor. Returns the connection to close for it, or `None` if all are being answered.
+    pub fn free_a_descriptor(&mut self, now: Micros, until: Micros) -> Option<u64> {
+        self.temporary_limit = Some((self.conns.len().saturating_sub(1).max(1), until));
+        self.eviction_candidate(now, true)
     }
 
-    fn places(&self, now: Micros) -> usize {
-        let squeezed = self.squeezed.filter(|(_, until)| *until > now).map(|(places, _)| places);
-        squeezed.map_or(self.rules.places, |places| places.min(self.rules.places))
+    fn max_connections(&self, now: Micros) -> usize {
+        let limit = self.temporary_limit.filter(|(_, until)| *until > now).map(|(places, _)| places);
+        limit.map_or(self.rules.max_connections, |places| places.min(self.rules.max_connections))
     }
 
-    /// How many hold a place.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
 
-    /// Whether nobody does.
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
         self.conns.is_empty()
     }
 
-    /// What a connection has shown.
-    pub fn standing(&self, key: u64) -> Option<Standing> {
-        self.conns.get(&key).map(|c| c.standing)
+    /// State of a connection.
+    pub fn state(&self, key: u64) -> Option<ConnState> {
+        self.conns.get(&key).map(|c| c.state)
     }
 
-    /// How many stand so.
-    pub fn count(&self, standing: Standing) -> usize {
-        self.all.by_since.get(&standing).map_or(0, BTreeSet::len)
+    /// Number of connections in a state.
+    pub fn count(&self, state: ConnState) -> usize {
+        self.all.by_state.get(&state).map_or(0, BTreeSet::len)
     }
 
-    /// The longest that a newcomer whose turn it is can wait for a place, answers being written aside.
-    pub fn wait_most(&self) -> Micros {
+    /// Longest time for which the first connection in the listen queue can wait for a place, not counting the time in
+    /// which answers are written.
+    pub fn max_wait(&self) -> Micros {
         let r = &self.rules;
-        r.whole.max(r.hurry).max(r.rest)
+        r.request_grace.max(r.urgent_grace).max(r.idle_grace)
     }
 
-    /// Whether a newcomer may come in. Its own source makes room first, if that holds more than its share.
-    pub fn enter(&self, now: Micros) -> Entry {
-        let free = self.places(now).saturating_sub(self.conns.len());
+    /// Decides whether a new connection can be accepted. If one source holds more than its share, its connections are
+    /// evicted first.
+    pub fn decide(&self, now: Micros) -> Decision {
+        let free = self.max_connections(now).saturating_sub(self.conns.len());
         if free > self.rules.reserve {
-            return Entry::Come;
+            return Decision::Accept;
         }
-        // Room is made before there is none, so that a newcomer does not wait for it; not at the cost of the young.
-        match self.spare(now, free == 0) {
-            Some(key) => Entry::After(key),
-            None if free > 0 => Entry::Come,
-            None => Entry::Wait(self.all.spare_at(&self.rules).unwrap_or(now + self.rules.hurry)),
+        // Connections are evicted while places are still free, so that a new one does not wait for a place. Connections
+        // that are only past `urgent_grace` are not evicted for that.
+        match self.eviction_candidate(now, free == 0) {
+            Some(key) => Decision::AcceptAfterClosing(key),
+            None if free > 0 => Decision::Accept,
+            None => Decision::WaitUntil(
+                self.all.next_eviction_at(&self.rules).unwrap_or(now + self.rules.urgent_grace),
+            ),
         }
     }
 
-    fn spare(&self, now: Micros, hurry: bool) -> Option<u64> {
-        let most = (self.rules.places as f64 * self.rules.source_share) as usize;
-        let greedy = self.heaviest.last().filter(|(n, _)| self.heaviest.len() > 1 && *n > most);
-        let Some((_, source)) = greedy else { return self.all.spare(now, &self.rules, hurry) };
-        // Danger: a flood's connections are all young, and then those of others made room for it; so its own are not left
-        // alone while they rest, and others make room only where there is no place at all.
-        let hasty = Rules { rest: Micros(0), ..self.rules.clone() };
-        let own = self.sources.get(source).and_then(|queues| queues.spare(now, &hasty, hurry));
-        own.or_else(|| hurry.then(|| self.all.spare(now, &self.rules, true)).flatten())
+    fn eviction_candidate(&self, now: Micros, urgent: bool) -> Option<u64> {
+        let share = (self.rules.max_connections as f64 * self.rules.max_source_share) as usize;
+        let over_share =
+            self.sources_by_count.last().filter(|(n, _)| self.sources_by_count.len() > 1 && *n > share);
+        let Some((_, source)) = over_share else {
+            return self.all.eviction_candidate(now, &self.rules, urgent);
+        };
+        // The connections of a flood are all recent, so that by age alone those of other sources would be evicted for
+        // it. The flood's own connections therefore get no idle grace, and others are evicted only if no place is free.
+        let without_idle_grace = Rules { idle_grace: Micros(0), ..self.rules.clone() };
+        let own = self
+            .by_source
+            .get(source)
+            .and_then(|queues| queues.eviction_candidate(now, &without_idle_grace, urgent));
+        own.or_else(|| urgent.then(|| self.all.eviction_candidate(now, &self.rules, true)).flatten())
     }
 
-    /// It has a place.
+    /// A connection was accepted.
     pub fn connected(&mut self, now: Micros, key: u64, from: IpAddr) {
         let source = Source::of(from);
-        self.put(key, Conn { source, standing: Standing::Silent, since: now, moved: now, asked: 0 });
+        self.insert(
+            key,
+            Conn {
+                source,
+                state: ConnState::Silent,
+                state_since: now,
+                last_byte_at: now,
+                answered_requests: 0,
+            },
+        );
     }
 
-    /// Some bytes of a request have come, and it is not whole.
-    pub fn bytes(&mut self, now: Micros, key: u64) {
+    /// Bytes of a request were received, and it is still incomplete.
+    pub fn partial_request(&mut self, now: Micros, key: u64) {
         self.change(key, |conn| {
-            if conn.standing != Standing::Asking {
-                (conn.standing, conn.since) = (Standing::Asking, now);
+            if conn.state != ConnState::Receiving {
+                (conn.state, conn.state_since) = (ConnState::Receiving, now);
             }
-            conn.moved = now;
+            conn.last_byte_at = now;
         });
     }
 
-    /// A request is whole and will be answered.
-    pub fn whole(&mut self, now: Micros, key: u64) {
-        self.change(key, |conn| (conn.standing, conn.since) = (Standing::Served, now));
+    /// A request is complete and will be answered.
+    pub fn complete_request(&mut self, now: Micros, key: u64) {
+        self.change(key, |conn| (conn.state, conn.state_since) = (ConnState::Answering, now));
     }
 
-    /// Its answer is written; `fault`: the request could not be used.
-    pub fn answered(&mut self, now: Micros, key: u64, fault: bool) {
+    /// The answer was written. `bad_request`: the request could not be used.
+    pub fn answered(&mut self, now: Micros, key: u64, bad_request: bool) {
         self.change(key, |conn| {
-            conn.asked += u32::from(!fault);
-            conn.since = now;
-            conn.standing = match conn.asked {
-                _ if fault => Standing::Faulty,
-                0 | 1 => Standing::Once,
-                _ => Standing::Steady,
+            conn.answered_requests += u32::from(!bad_request);
+            conn.state_since = now;
+            conn.state = match conn.answered_requests {
+                _ if bad_request => ConnState::BadRequest,
+                0 | 1 => ConnState::IdleAfterOne,
+                _ => ConnState::IdleAfterMore,
             };
         });
     }
 
-    /// It has heard its last word, and is closed when its client has ended too.
-    pub fn parting(&mut self, now: Micros, key: u64) {
-        self.change(key, |conn| (conn.standing, conn.since) = (Standing::Parting, now));
+    /// The last answer was sent; the connection is closed at the client's end of stream.
+    pub fn closing(&mut self, now: Micros, key: u64) {
+        self.change(key, |conn| (conn.state, conn.state_since) = (ConnState::Closing, now));
     }
 
-    /// It is closed.
+    /// The connection was closed.
     pub fn closed(&mut self, key: u64) {
-        self.take(key);
+        self.remove(key);
     }
 
-    /// The next one that has held its place for as long as it may.
-    pub fn overdue(&self, now: Micros) -> Option<u64> {
-        self.ends().filter(|(at, _)| *at <= now).min().map(|(_, key)| key)
+    /// The connection whose timeout passed first, if one has.
+    pub fn timed_out(&self, now: Micros) -> Option<u64> {
+        self.timeouts().filter(|(at, _)| *at <= now).min().map(|(_, key)| key)
     }
 
-    /// When the next one will have.
-    pub fn next_at(&self) -> Option<Micros> {
-        self.ends().min().map(|(at, _)| at)
+    /// Time of the next timeout.
+    pub fn next_timeout(&self) -> Option<Micros> {
+        self.timeouts().min().map(|(at, _)| at)
     }
 
-    fn ends(&self) -> impl Iterator<Item = (Micros, u64)> + '_ {
+    fn timeouts(&self) -> impl Iterator<Item = (Micros, u64)> + '_ {
         let r = &self.rules;
         let ages = [
-            (Standing::Silent, r.silent_most),
-            (Standing::Asking, r.whole_most),
-            (Standing::Faulty, r.silent_most),
-            (Standing::Parting, r.hurry),
-            (Standing::Once, r.idle_most),
-            (Standing::Steady, r.idle_most),
+            (ConnState::Silent, r.silent_timeout),
+            (ConnState::Receiving, r.request_timeout),
+            (ConnState::BadRequest, r.silent_timeout),
+            (ConnState::Closing, r.urgent_grace),
+            (ConnState::IdleAfterOne, r.idle_timeout),
+            (ConnState::IdleAfterMore, r.idle_timeout),
         ];
-        ages.into_iter().filter_map(|(standing, age)| {
-            let (since, key) = self.all.first(standing)?;
+        ages.into_iter().filter_map(|(state, age)| {
+            let (since, key) = self.all.oldest(state)?;
             Some((since + age, key))
         })
     }
 
     fn change(&mut self, key: u64, f: impl FnOnce(&mut Conn)) {
-        if let Some(mut conn) = self.take(key) {
+        if let Some(mut conn) = self.remove(key) {
             f(&mut conn);
-            self.put(key, conn);
+            self.insert(key, conn);
         }
     }
 
-    fn put(&mut self, key: u64, conn: Conn) {
+    fn insert(&mut self, key: u64, conn: Conn) {
         self.conns.insert(key, conn);
-        self.all.put(key, &conn);
-        let queues = self.sources.entry(conn.source).or_default();
-        self.heaviest.remove(&(queues.len, conn.source));
-        queues.put(key, &conn);
-        self.heaviest.insert((queues.len, conn.source));
+        self.all.insert(key, &conn);
+        let queues = self.by_source.entry(conn.source).or_default();
+        self.sources_by_count.remove(&(queues.len, conn.source));
+        queues.insert(key, &conn);
+        self.sources_by_count.insert((queues.len, conn.source));
     }
 
-    fn take(&mut self, key: u64) -> Option<Conn> {
+    fn remove(&mut self, key: u64) -> Option<Conn> {
         let conn = self.conns.remove(&key)?;
-        self.all.take(key, &conn);
-        if let Some(queues) = self.sources.get_mut(&conn.source) {
-            self.heaviest.remove(&(queues.len, conn.source));
-            queues.take(key, &conn);
+        self.all.remove(key, &conn);
+        if let Some(queues) = self.by_source.get_mut(&conn.source) {
+            self.sources_by_count.remove(&(queues.len, conn.source));
+            queues.remove(key, &conn);
             if queues.len > 0 {
-                self.heaviest.insert((queues.len, conn.source));
+                self.sources_by_count.insert((queues.len, conn.source));
             } else {
-                self.sources.remove(&conn.source);
+                self.by_source.remove(&conn.source);
             }
         }
         Some(conn)
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,7 +1,7 @@
 //! `indigohold drain ...` and `indigohold status`: the control channel from the command line.
 
 use super::{Drain, Socket};
-use crate::admission::Standing;
+use crate::admission::ConnState;
 use crate::control::client::{Client, Failed};
 use crate::control::config as control;
 use crate::control::shape::{DrainShape, Problem, ScopeShape, StatusShape, WishShape};
@@ -114,7 +114,7 @@
         status.owed
     );
     for (name, tally) in &status.clients {
-        let words = |map: &BTreeMap<Standing, u64>| {
+        let words = |map: &BTreeMap<ConnState, u64>| {
             let named = map.iter().map(|(standing, n)| format!("{n} {standing:?}").to_lowercase());
             named.collect::<Vec<_>>().join(", ")
         };
--- a/src/net/acceptor/accepting.rs
+++ b/src/net/acceptor/accepting.rs
@@ -15,7 +15,7 @@
     pub(super) fn free_descriptors(&mut self, now: Micros) {
         for _ in 0..self.handle.descriptors_wanted.swap(0, Ordering::SeqCst).min(MAX_ACCEPTS_PER_ROUND) {
             self.stats.descriptor_shortages += 1;
-            let Some(key) = self.admission.give_way(now, now + REDUCED_PLACES_TIME) else { return };
+            let Some(key) = self.admission.free_a_descriptor(now, now + REDUCED_PLACES_TIME) else { return };
             if let Some(standing) = self.evict(now, key) {
                 *self.stats.evicted.entry(standing).or_default() += 1;
             }
@@ -31,14 +31,14 @@
             if !self.accept_ready {
                 return;
             }
-            match self.admission.enter(now) {
-                Entry::Come => self.accept(now),
-                Entry::After(key) => {
+            match self.admission.decide(now) {
+                Decision::Accept => self.accept(now),
+                Decision::AcceptAfterClosing(key) => {
                     // If that connection has sent something, it is read first, and the next round tries again.
                     let Some(standing) = self.evict(now, key) else { return };
                     *self.stats.evicted.entry(standing).or_default() += 1;
                 }
-                Entry::Wait(until) => {
+                Decision::WaitUntil(until) => {
                     self.stats.deferred += 1;
                     match self.protocol.refusal() {
                         Some(reply) => self.refuse(reply),
@@ -107,7 +107,7 @@
                     self.refuse(self.protocol.refusal().unwrap_or(""));
                     self.spare_descriptor = File::open("/dev/null").ok();
                 }
-                self.admission.squeeze(now + REDUCED_PLACES_TIME);
+                self.admission.limit_to_current(now + REDUCED_PLACES_TIME);
                 self.accept_paused_until = Some(now + NO_DESCRIPTOR_DELAY);
             }
         }
@@ -125,15 +125,15 @@
     /// Closes a connection in favour of another, unless it has just sent something. Returns its standing if it was closed.
     /// Input that has arrived is read first: a request, or the last part of one, that crosses the close of its session would
     /// be lost or would have to be sent again.
-    fn evict(&mut self, now: Micros, key: u64) -> Option<Standing> {
-        let standing = self.admission.standing(key)?;
+    fn evict(&mut self, now: Micros, key: u64) -> Option<ConnState> {
+        let standing = self.admission.state(key)?;
         // A client that does not read its replies is not read either. If its unread input spared it, it would be chosen and
         // spared again and again.
         let has_input =
             |c: &Connection<P::Session>| c.reads_requests() && c.stream.peek(&mut [0]).is_ok_and(|n| n > 0);
-        let may_ask = !matches!(standing, Standing::Faulty | Standing::Parting);
+        let may_ask = !matches!(standing, ConnState::BadRequest | ConnState::Closing);
         if may_ask && self.connections.get(&key).is_some_and(has_input) {
-            self.admission.bytes(now, key);
+            self.admission.partial_request(now, key);
             self.mark_readable(key);
             return None;
         }
@@ -142,11 +142,11 @@
     }
 
     /// Sends the protocol's closing reply and closes the connection.
-    fn close_with_reply(&mut self, key: u64, standing: Standing) {
+    fn close_with_reply(&mut self, key: u64, standing: ConnState) {
         if let Some(connection) = self.connections.get_mut(&key) {
             // There is no pending output, so this short reply fits into the send buffer. An error means that the connection is
             // closed already.
-            let why = if standing == Standing::Asking { CloseReason::Half } else { CloseReason::Idle };
+            let why = if standing == ConnState::Receiving { CloseReason::Half } else { CloseReason::Idle };
             tracing::debug!(target: "clients", connection = key, ?why, "a connection is closed");
             let reply = self.protocol.closing_reply(why);
             if !reply.is_empty() && connection.unsent.is_empty() && !connection.close_after_write {
@@ -194,10 +194,10 @@
                 self.close(key); // the client does not read its reply
             }
         }
-        while let Some(key) = self.admission.overdue(now) {
+        while let Some(key) = self.admission.timed_out(now) {
             // A request that is still incomplete is given up, whatever input may follow.
-            match self.admission.standing(key) {
-                Some(Standing::Asking) => self.close_with_reply(key, Standing::Asking),
+            match self.admission.state(key) {
+                Some(ConnState::Receiving) => self.close_with_reply(key, ConnState::Receiving),
                 _ if self.evict(now, key).is_none() => continue,
                 _ => {}
             }
--- a/src/net/acceptor/handle.rs
+++ b/src/net/acceptor/handle.rs
@@ -1,7 +1,7 @@
 //! The interface of a frontend's connection acceptors to the rest of the process, and the opening of listening sockets.
 
 use super::connection::ExportedConnection;
-use crate::admission::Standing;
+use crate::admission::ConnState;
 use crate::net::{conn, errors};
 use mio::Waker;
 use serde::{Deserialize, Serialize};
@@ -29,13 +29,13 @@
     /// The largest number of connections.
     pub places: u64,
     /// Open connections by standing.
-    pub open: BTreeMap<Standing, u64>,
+    pub open: BTreeMap<ConnState, u64>,
     /// Connections accepted so far.
     #[serde(rename = "let_in")]
     pub accepted: u64,
     /// Those closed in favour of others, by their standing at that time.
     #[serde(rename = "made_room")]
-    pub evicted: BTreeMap<Standing, u64>,
+    pub evicted: BTreeMap<ConnState, u64>,
     /// Those closed because their time limit had passed.
     pub timed_out: u64,
     /// Times that new clients had to wait or were refused because no connection could be closed in their favour.
--- a/src/net/acceptor/handover.rs
+++ b/src/net/acceptor/handover.rs
@@ -59,14 +59,14 @@
         let session = self.protocol.import_session(from, &session);
         self.admission.connected(now, key, from.ip());
         for _ in 0..requests {
-            self.admission.whole(now, key);
+            self.admission.complete_request(now, key);
             self.admission.answered(now, key, false);
         }
         if !unparsed.is_empty() {
-            self.admission.bytes(now, key);
+            self.admission.partial_request(now, key);
         }
         if discard_left.is_some() {
-            self.admission.parting(now, key);
+            self.admission.closing(now, key);
         }
         self.buffered_bytes += unparsed.len();
         let (may_parse, readable, hung_up, timer) = (!unparsed.is_empty(), true, false, None);
@@ -101,9 +101,9 @@
             unparsed: connection.unparsed.clone(),
             unsent: connection.unsent.clone(),
             unconfirmed_messages: connection.unconfirmed_messages.clone(),
-            requests: match self.admission.standing(*key) {
-                Some(Standing::Once) => 1,
-                Some(Standing::Steady) => 2,
+            requests: match self.admission.state(*key) {
+                Some(ConnState::IdleAfterOne) => 1,
+                Some(ConnState::IdleAfterMore) => 2,
                 _ => 0,
             },
             end_of_input: connection.end_of_input,
--- a/src/net/acceptor/mod.rs
+++ b/src/net/acceptor/mod.rs
@@ -23,7 +23,7 @@
 
 use super::errors::{accept_fault, AcceptFault};
 use super::transfer::{receive, send, Received, Sent};
-use crate::admission::{Admission, Entry, Rules, Standing};
+use crate::admission::{Admission, ConnState, Decision, Rules};
 use crate::api::Micros;
 use crate::core::Clock;
 use connection::Connection;
@@ -133,7 +133,7 @@
             handover: Arc::clone(&handover),
             finished: Arc::clone(&finished),
         });
-        let stats = AcceptorStats { places: rules.places as u64, ..AcceptorStats::default() };
+        let stats = AcceptorStats { places: rules.max_connections as u64, ..AcceptorStats::default() };
         Ok(ConnectionAcceptor {
             protocol,
             clock,
@@ -235,7 +235,7 @@
         let accept = if self.accept_ready { self.accept_paused_until.or(Some(now)) } else { None };
         let timer = self.timers.first().map(|t| t.0);
         let stalled = (!self.stalled.is_empty()).then_some(now + STALL_RETRY_DELAY);
-        let at = [accept, timer, stalled, self.admission.next_at()].into_iter().flatten().min();
+        let at = [accept, timer, stalled, self.admission.next_timeout()].into_iter().flatten().min();
         at.map_or(now + HOUSEKEEPING_INTERVAL, |at| at.clamp(now, now + HOUSEKEEPING_INTERVAL))
     }
 
@@ -245,8 +245,8 @@
             return;
         }
         self.published_at = now;
-        let count = |standing: &Standing| (*standing, self.admission.count(*standing) as u64);
-        self.stats.open = Standing::ALL.iter().map(count).filter(|(_, n)| *n > 0).collect();
+        let count = |standing: &ConnState| (*standing, self.admission.count(*standing) as u64);
+        self.stats.open = ConnState::ALL.iter().map(count).filter(|(_, n)| *n > 0).collect();
         *self.published_stats.lock().unwrap_or_else(PoisonError::into_inner) = self.stats.clone();
     }
 
--- a/src/net/acceptor/reading.rs
+++ b/src/net/acceptor/reading.rs
@@ -14,7 +14,7 @@
         let (mut keys, mut requests) = (Vec::new(), Vec::new());
         for key in ready {
             if let Some(request) = self.read_request(now, key, closing) {
-                self.admission.whole(now, key);
+                self.admission.complete_request(now, key);
                 keys.push(key);
                 requests.push(request);
             }
@@ -128,7 +128,7 @@
                 }
                 Some(Parsed::Incomplete { begun }) => {
                     if begun {
-                        self.admission.bytes(now, key);
+                        self.admission.partial_request(now, key);
                     }
                     if self.buffered_bytes > self.max_buffered_bytes && left > 0 {
                         let reply = self.protocol.closing_reply(CloseReason::Full);
@@ -152,7 +152,7 @@
                 || closing
                     && !readable
                     && all_parsed
-                    && self.admission.standing(key) != Some(Standing::Asking)
+                    && self.admission.state(key) != Some(ConnState::Receiving)
             {
                 if self.connections.get(&key).is_some_and(|c| c.unsent.is_empty()) {
                     self.close(key);
--- a/src/net/acceptor/responding.rs
+++ b/src/net/acceptor/responding.rs
@@ -66,7 +66,7 @@
             let ended = connection.end_of_input || connection.stream.shutdown(Shutdown::Write).is_err();
             self.buffered_bytes -= connection.unparsed.len();
             connection.unparsed = Vec::new();
-            self.admission.parting(now, key);
+            self.admission.closing(now, key);
             if ended {
                 return self.close(key);
             }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -15,7 +15,7 @@
 use super::conn::FetchConnections;
 use super::pool::{BufferPool, BUFFER_BYTES};
 use super::{spawn, Frontend};
-use crate::admission::config::Wishes;
+use crate::admission::config::FrontAdmission;
 use crate::admission::Rules;
 use crate::api::Micros;
 use crate::config::Bounds;
@@ -73,7 +73,7 @@
 /// Starts the front's threads, all but the listener's.
 pub fn start(
     courier: &Arc<Courier>, bounds: Bounds, names: NetworkSettings, slots: usize, discovery: AddressRotation,
-    poll: Micros, admission: &Wishes,
+    poll: Micros, admission: &FrontAdmission,
 ) -> io::Result<(Arc<Platform>, Frontend)> {
     let keep = Duration::from_secs_f64(names.conn_idle.secs() * KEEP_SHARE);
     let idle = bounds.sockets / 8;
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,6 +1,7 @@
-//! Admission against a plain model, under any order of events, and under floods played through in a small world of arrivals.
+//! Admission compared with a simple model under random sequences of events, the source of an address, and a flood from
+//! one source.
 
-use indigohold::admission::{Admission, Entry, Rules, Source, Standing};
+use indigohold::admission::{Admission, ConnState, Decision, Rules, Source};
 use indigohold::Micros;
 use proptest::prelude::*;
 use std::collections::BTreeMap;
@@ -8,16 +9,16 @@
 
 fn rules(places: usize) -> Rules {
     Rules {
-        places,
+        max_connections: places,
         reserve: places / 8,
-        speak: ms(450),
-        whole: ms(250),
-        hurry: ms(150),
-        rest: ms(20),
-        silent_most: ms(2_200),
-        whole_most: ms(2_500),
-        idle_most: ms(30_000),
-        source_share: 0.5,
+        silent_grace: ms(450),
+        request_grace: ms(250),
+        urgent_grace: ms(150),
+        idle_grace: ms(20),
+        silent_timeout: ms(2_200),
+        request_timeout: ms(2_500),
+        idle_timeout: ms(30_000),
+        max_source_share: 0.5,
     }
 }
 
@@ -29,177 +30,202 @@
     IpAddr::V4(Ipv4Addr::new(10, 0, 0, n))
 }
 
-/// One connection, plainly.
+/// A connection as the model stores it.
 #[derive(Debug, Clone)]
-struct Plain {
+struct ModelConn {
     source: u8,
-    standing: Standing,
-    since: u64,
-    moved: u64,
-    asked: u32,
+    state: ConnState,
+    state_since: u64,
+    last_byte_at: u64,
+    answered_requests: u32,
 }
 
-/// Who should make room, found by looking at everybody.
-fn plain_spare(rules: &Rules, conns: &BTreeMap<u64, Plain>, now: u64, hurry: bool) -> Option<u64> {
+/// The connection that should be evicted, found by a search through all of them.
+fn expected_candidate(
+    rules: &Rules, conns: &BTreeMap<u64, ModelConn>, now: u64, urgent: bool,
+) -> Option<u64> {
     let mut counts: BTreeMap<u8, usize> = BTreeMap::new();
     conns.values().for_each(|c| *counts.entry(c.source).or_default() += 1);
-    let heaviest = counts.iter().max_by_key(|(source, n)| (**n, **source));
-    let greedy = heaviest.filter(|(_, n)| counts.len() > 1 && **n > rules.places / 2).map(|(s, _)| *s);
+    let largest = counts.iter().max_by_key(|(source, n)| (**n, **source));
+    let over_share =
+        largest.filter(|(_, n)| counts.len() > 1 && **n > rules.max_connections / 2).map(|(s, _)| *s);
     let among = |source: Option<u8>| {
-        // One that holds more than its share is not left to rest.
-        let rest = if source.is_some() { Micros(0) } else { rules.rest };
-        let all: Vec<(u64, &Plain)> = conns
+        // A source over its share gets no idle grace.
+        let idle_grace = if source.is_some() { Micros(0) } else { rules.idle_grace };
+        let all: Vec<(u64, &ModelConn)> = conns
             .iter()
             .filter(|(_, c)| source.is_none_or(|s| s == c.source))
             .map(|(k, c)| (*k, c))
             .collect();
-        let oldest = |standing: Standing, age: Micros| {
-            let due = all.iter().filter(|(_, c)| c.standing == standing && c.since + age.0 <= now);
-            due.min_by_key(|(k, c)| (c.since, *k)).map(|(k, _)| *k)
+        let oldest = |state: ConnState, age: Micros| {
+            let due = all.iter().filter(|(_, c)| c.state == state && c.state_since + age.0 <= now);
+            due.min_by_key(|(k, c)| (c.state_since, *k)).map(|(k, _)| *k)
         };
-        let still = || {
-            let due =
-                all.iter().filter(|(_, c)| c.standing == Standing::Asking && c.moved + rules.hurry.0 <= now);
-            due.min_by_key(|(k, c)| (c.moved, *k)).map(|(k, _)| *k)
+        let without_bytes = || {
+            let due = all.iter().filter(|(_, c)| {
+                c.state == ConnState::Receiving && c.last_byte_at + rules.urgent_grace.0 <= now
+            });
+            due.min_by_key(|(k, c)| (c.last_byte_at, *k)).map(|(k, _)| *k)
         };
-        oldest(Standing::Parting, Micros(0))
-            .or_else(|| oldest(Standing::Faulty, Micros(0)))
-            .or_else(|| oldest(Standing::Silent, rules.speak))
-            .or_else(|| oldest(Standing::Asking, rules.whole))
-            .or_else(|| oldest(Standing::Once, rest))
-            .or_else(|| oldest(Standing::Steady, rest))
-            .or_else(|| if hurry { still() } else { None })
-            .or_else(|| if hurry { oldest(Standing::Silent, rules.hurry) } else { None })
+        oldest(ConnState::Closing, Micros(0))
+            .or_else(|| oldest(ConnState::BadRequest, Micros(0)))
+            .or_else(|| oldest(ConnState::Silent, rules.silent_grace))
+            .or_else(|| oldest(ConnState::Receiving, rules.request_grace))
+            .or_else(|| oldest(ConnState::IdleAfterOne, idle_grace))
+            .or_else(|| oldest(ConnState::IdleAfterMore, idle_grace))
+            .or_else(|| if urgent { without_bytes() } else { None })
+            .or_else(|| if urgent { oldest(ConnState::Silent, rules.urgent_grace) } else { None })
     };
-    match greedy {
-        Some(s) => among(Some(s)).or_else(|| if hurry { among(None) } else { None }),
+    match over_share {
+        Some(s) => among(Some(s)).or_else(|| if urgent { among(None) } else { None }),
         None => among(None),
     }
 }
 
 #[derive(Debug, Clone)]
 enum Op {
-    Knock(u8),
-    Bytes(usize),
-    Whole(usize),
+    Connect(u8),
+    PartialRequest(usize),
+    CompleteRequest(usize),
     Answered(usize, bool),
-    Parting(usize),
+    Closing(usize),
     Close(usize),
-    Pass(u64),
+    Advance(u64),
 }
 
 fn op() -> impl Strategy<Value = Op> {
-    let one = 0usize..64;
+    let index = 0usize..64;
     prop_oneof![
-        6 => (0u8..3).prop_map(Op::Knock),
-        2 => one.clone().prop_map(Op::Bytes),
-        2 => one.clone().prop_map(Op::Whole),
-        3 => (one.clone(), prop::bool::weighted(0.2)).prop_map(|(n, f)| Op::Answered(n, f)),
-        1 => one.clone().prop_map(Op::Parting),
-        1 => one.prop_map(Op::Close),
-        3 => (0u64..700).prop_map(Op::Pass),
+        6 => (0u8..3).prop_map(Op::Connect),
+        2 => index.clone().prop_map(Op::PartialRequest),
+        2 => index.clone().prop_map(Op::CompleteRequest),
+        3 => (index.clone(), prop::bool::weighted(0.2)).prop_map(|(n, f)| Op::Answered(n, f)),
+        1 => index.clone().prop_map(Op::Closing),
+        1 => index.prop_map(Op::Close),
+        3 => (0u64..700).prop_map(Op::Advance),
     ]
 }
 
 proptest! {
-    #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
+    #![proptest_config(ProptestConfig {
+        cases: 300,
+        failure_persistence: None,
+        rng_seed: prop::test_runner::RngSeed::Fixed(9),
+        ..ProptestConfig::default()
+    })]
 
-    /// Whatever happens in whatever order: the places are never passed, who makes room is who should, one that is being
-    /// answered never is, and a wait that is told ends when it is told to.
+    /// For every sequence of events: there are never more connections than places, the expected connection is evicted and
+    /// never one that is being answered, and a wait ends by the time that was returned for it.
     #[test]
-    fn it_does_what_the_plain_model_does(ops in prop::collection::vec(op(), 1..300), places in 3usize..24) {
+    fn decisions_are_those_of_the_model(ops in prop::collection::vec(op(), 1..300), places in 3usize..24) {
         let rules = rules(places);
         let mut admission = Admission::new(rules.clone());
-        let mut plain: BTreeMap<u64, Plain> = BTreeMap::new();
+        let mut model: BTreeMap<u64, ModelConn> = BTreeMap::new();
         let (mut now, mut next) = (0u64, 0u64);
         for op in ops {
             let at = Micros(now);
-            let nth = |n: usize, plain: &BTreeMap<u64, Plain>| plain.keys().nth(n % plain.len().max(1)).copied();
+            let nth = |n: usize, model: &BTreeMap<u64, ModelConn>| model.keys().nth(n % model.len().max(1)).copied();
             match op {
-                Op::Knock(source) => {
-                    let free = places - plain.len();
-                    match admission.enter(at) {
-                        Entry::Come => {
+                Op::Connect(source) => {
+                    let free = places - model.len();
+                    match admission.decide(at) {
+                        Decision::Accept => {
                             prop_assert!(free > 0);
-                            prop_assert!(free > rules.reserve || plain_spare(&rules, &plain, now, false).is_none());
+                            prop_assert!(free > rules.reserve || expected_candidate(&rules, &model, now, false).is_none());
                             admission.connected(at, next, from(source));
-                            plain.insert(next, Plain { source, standing: Standing::Silent, since: now, moved: now, asked: 0 });
+                            model.insert(next, ModelConn {
+                                source,
+                                state: ConnState::Silent,
+                                state_since: now,
+                                last_byte_at: now,
+                                answered_requests: 0,
+                            });
                             next += 1;
                         }
-                        Entry::After(key) => {
-                            prop_assert_eq!(Some(key), plain_spare(&rules, &plain, now, free == 0));
-                            prop_assert_ne!(plain[&key].standing, Standing::Served);
+                        Decision::AcceptAfterClosing(key) => {
+                            prop_assert_eq!(Some(key), expected_candidate(&rules, &model, now, free == 0));
+                            prop_assert_ne!(model[&key].state, ConnState::Answering);
                             admission.closed(key);
-                            plain.remove(&key);
+                            model.remove(&key);
                         }
-                        Entry::Wait(until) => {
+                        Decision::WaitUntil(until) => {
                             prop_assert_eq!(free, 0);
-                            prop_assert_eq!(plain_spare(&rules, &plain, now, true), None);
-                            prop_assert!(until > at && until <= at + admission.wait_most());
-                            if plain.values().any(|c| c.standing != Standing::Served) {
-                                prop_assert!(matches!(admission.enter(until), Entry::After(_)), "it is kept waiting");
+                            prop_assert_eq!(expected_candidate(&rules, &model, now, true), None);
+                            prop_assert!(until > at && until <= at + admission.max_wait());
+                            if model.values().any(|c| c.state != ConnState::Answering) {
+                                prop_assert!(
+                                    matches!(admission.decide(until), Decision::AcceptAfterClosing(_)),
+                                    "no candidate at the promised time"
+                                );
                             }
                         }
                     }
                 }
-                Op::Bytes(n) => if let Some(key) = nth(n, &plain) {
-                    let c = plain.get_mut(&key).unwrap();
-                    if c.standing != Standing::Asking {
-                        (c.standing, c.since) = (Standing::Asking, now);
+                Op::PartialRequest(n) => if let Some(key) = nth(n, &model) {
+                    let c = model.get_mut(&key).unwrap();
+                    if c.state != ConnState::Receiving {
+                        (c.state, c.state_since) = (ConnState::Receiving, now);
                     }
-                    c.moved = now;
-                    admission.bytes(at, key);
+                    c.last_byte_at = now;
+                    admission.partial_request(at, key);
                 },
-                Op::Whole(n) => if let Some(key) = nth(n, &plain) {
-                    let c = plain.get_mut(&key).unwrap();
-                    (c.standing, c.since) = (Standing::Served, now);
-                    admission.whole(at, key);
+                Op::CompleteRequest(n) => if let Some(key) = nth(n, &model) {
+                    let c = model.get_mut(&key).unwrap();
+                    (c.state, c.state_since) = (ConnState::Answering, now);
+                    admission.complete_request(at, key);
                 },
-                Op::Answered(n, fault) => if let Some(key) = nth(n, &plain) {
-                    let c = plain.get_mut(&key).unwrap();
-                    c.asked += u32::from(!fault);
-                    c.since = now;
-                    c.standing = if fault { Standing::Faulty } else if c.asked > 1 { Standing::Steady } else { Standing::Once };
+                Op::Answered(n, fault) => if let Some(key) = nth(n, &model) {
+                    let c = model.get_mut(&key).unwrap();
+                    c.answered_requests += u32::from(!fault);
+                    c.state_since = now;
+                    c.state = if fault {
+                        ConnState::BadRequest
+                    } else if c.answered_requests > 1 {
+                        ConnState::IdleAfterMore
+                    } else {
+                        ConnState::IdleAfterOne
+                    };
                     admission.answered(at, key, fault);
                 },
-                Op::Parting(n) => if let Some(key) = nth(n, &plain) {
-                    let c = plain.get_mut(&key).unwrap();
-                    (c.standing, c.since) = (Standing::Parting, now);
-                    admission.parting(at, key);
+                Op::Closing(n) => if let Some(key) = nth(n, &model) {
+                    let c = model.get_mut(&key).unwrap();
+                    (c.state, c.state_since) = (ConnState::Closing, now);
+                    admission.closing(at, key);
                 },
-                Op::Close(n) => if let Some(key) = nth(n, &plain) {
+                Op::Close(n) => if let Some(key) = nth(n, &model) {
                     admission.closed(key);
-                    plain.remove(&key);
+                    model.remove(&key);
                 },
-                Op::Pass(ms) => now += ms * 1_000,
+                Op::Advance(ms) => now += ms * 1_000,
             }
-            prop_assert_eq!(admission.len(), plain.len());
-            for (key, c) in &plain {
-                prop_assert_eq!(admission.standing(*key), Some(c.standing));
+            prop_assert_eq!(admission.len(), model.len());
+            for (key, c) in &model {
+                prop_assert_eq!(admission.state(*key), Some(c.state));
             }
-            while let Some(key) = admission.overdue(Micros(now)) {
-                let c = &plain[&key];
-                prop_assert_ne!(c.standing, Standing::Served);
-                prop_assert!(now - c.since >= 150_000, "{:?}", c);
+            while let Some(key) = admission.timed_out(Micros(now)) {
+                let c = &model[&key];
+                prop_assert_ne!(c.state, ConnState::Answering);
+                prop_assert!(now - c.state_since >= 150_000, "{:?}", c);
                 admission.closed(key);
-                plain.remove(&key);
+                model.remove(&key);
             }
-            prop_assert!(admission.next_at().is_none_or(|at| at.0 > now));
+            prop_assert!(admission.next_timeout().is_none_or(|at| at.0 > now));
         }
     }
 }
 
 #[test]
-fn a_network_of_ipv6_is_one_source() {
+fn an_ipv6_network_is_one_source() {
     let of = |text: &str| Source::of(text.parse().unwrap());
     assert_eq!(of("2001:db8:1:2:3::4"), of("2001:db8:1:2:ffff::1"));
     assert_ne!(of("2001:db8:1:2::1"), of("2001:db8:1:3::1"));
-    assert_eq!(of("::ffff:10.0.0.1"), of("10.0.0.1"), "an IPv4 address by another name");
+    assert_eq!(of("::ffff:10.0.0.1"), of("10.0.0.1"), "an IPv4-mapped address is the IPv4 address");
 }
 
-/// One source floods, another comes now and then: the flood makes room, the others keep their places.
+/// One source opens many connections: the connections of the flood are evicted, the four idle ones of another source are
+/// not.
 #[test]
-fn a_flood_from_one_source_makes_room_by_itself() {
+fn a_flood_from_one_source_evicts_its_own_connections() {
     let mut admission = Admission::new(rules(16));
     for key in 0..4 {
         admission.connected(Micros(0), key, from(1));
@@ -208,21 +234,21 @@
     let (mut open, mut next, mut now) = (Vec::new(), 100, 1_000_000);
     for _ in 0..1_000 {
         now += 1_000;
-        match admission.enter(Micros(now)) {
-            Entry::Come => {
+        match admission.decide(Micros(now)) {
+            Decision::Accept => {
                 admission.connected(Micros(now), next, from(2));
                 admission.answered(Micros(now), next, false);
                 admission.answered(Micros(now), next, false);
                 open.push(next);
                 next += 1;
             }
-            Entry::After(key) => {
-                assert!(key >= 100, "one of the others made room, though they asked once and long ago");
+            Decision::AcceptAfterClosing(key) => {
+                assert!(key >= 100, "a connection of the other source was evicted");
                 admission.closed(key);
             }
-            Entry::Wait(_) => {}
+            Decision::WaitUntil(_) => {}
         }
     }
-    assert!(open.len() > 100, "the flood itself is served: {}", open.len());
-    assert!((0..4).all(|key| admission.standing(key).is_some()));
+    assert!(open.len() > 100, "connections of the flood: {}", open.len());
+    assert!((0..4).all(|key| admission.state(key).is_some()));
 }
--- a/tests/arrivals.rs
+++ b/tests/arrivals.rs
@@ -2,7 +2,7 @@
 //! mean it, to choose the figures of admission by and to hold them to. `--nocapture` prints the table of the design note.
 
 use indigohold::admission::config::AdmissionConfig;
-use indigohold::admission::{Admission, Entry, Rules};
+use indigohold::admission::{Admission, Decision, Rules};
 use indigohold::Micros;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -85,7 +85,7 @@
             seen.asks += 1;
             match session {
                 Some(key) if inside.contains_key(key) => {
-                    admission.whole(at, *key);
+                    admission.complete_request(at, *key);
                     admission.answered(at, *key, false);
                 }
                 Some(_) => {
@@ -121,12 +121,12 @@
             .map(|(key, _)| *key)
             .collect();
         gone.into_iter().for_each(|key| close(key, &mut admission, &mut inside, false));
-        while let Some(key) = admission.overdue(at) {
+        while let Some(key) = admission.timed_out(at) {
             close(key, &mut admission, &mut inside, true);
         }
         while !backlog.is_empty() {
-            match admission.enter(at) {
-                Entry::Come => {
+            match admission.decide(at) {
+                Decision::Accept => {
                     let client = backlog.pop_front().unwrap();
                     admission.connected(at, next, from);
                     if client.kind == Kind::Steady {
@@ -137,8 +137,8 @@
                     inside.insert(next, client);
                     next += 1;
                 }
-                Entry::After(key) => close(key, &mut admission, &mut inside, true),
-                Entry::Wait(_) => break,
+                Decision::AcceptAfterClosing(key) => close(key, &mut admission, &mut inside, true),
+                Decision::WaitUntil(_) => break,
             }
         }
         for (key, client) in inside.iter_mut().filter(|(_, c)| !c.answered) {
@@ -146,16 +146,16 @@
             match client.kind {
                 Kind::Mute => {}
                 Kind::Half if age > 0 => {
-                    if admission.standing(*key) == Some(indigohold::admission::Standing::Silent) {
-                        admission.bytes(at, *key);
+                    if admission.state(*key) == Some(indigohold::admission::ConnState::Silent) {
+                        admission.partial_request(at, *key);
                     }
                 }
-                Kind::Trickle if age % 100 == 0 => admission.bytes(at, *key),
+                Kind::Trickle if age % 100 == 0 => admission.partial_request(at, *key),
                 Kind::Half | Kind::Trickle => {}
                 Kind::Once | Kind::Steady | Kind::Means(_) => {
                     let speaks = if let Kind::Means(after) = client.kind { after } else { 1 };
                     if age >= speaks {
-                        admission.whole(at, *key);
+                        admission.complete_request(at, *key);
                         admission.answered(at, *key, false);
                         client.answered = true;
                         if matches!(client.kind, Kind::Means(_)) {
@@ -166,7 +166,7 @@
                 }
             }
         }
-        assert!(inside.len() <= rules.places);
+        assert!(inside.len() <= rules.max_connections);
     }
     seen.waits.sort_unstable();
     seen
@@ -214,13 +214,13 @@
 fn other_figures() {
     let variants: [(&str, Rules); 8] = [
         ("in use", rules()),
-        ("hurry 50 ms", Rules { hurry: Micros(50_000), ..rules() }),
-        ("hurry 400 ms", Rules { hurry: Micros(400_000), ..rules() }),
-        ("speak 2 s", Rules { speak: Micros(2_000_000), ..rules() }),
-        ("whole 400 ms", Rules { whole: Micros(400_000), ..rules() }),
-        ("whole 1 s", Rules { whole: Micros(1_000_000), ..rules() }),
+        ("hurry 50 ms", Rules { urgent_grace: Micros(50_000), ..rules() }),
+        ("hurry 400 ms", Rules { urgent_grace: Micros(400_000), ..rules() }),
+        ("speak 2 s", Rules { silent_grace: Micros(2_000_000), ..rules() }),
+        ("whole 400 ms", Rules { request_grace: Micros(400_000), ..rules() }),
+        ("whole 1 s", Rules { request_grace: Micros(1_000_000), ..rules() }),
         ("no reserve", Rules { reserve: 0, ..rules() }),
-        ("rest 2 s", Rules { rest: Micros(2_000_000), ..rules() }),
+        ("rest 2 s", Rules { idle_grace: Micros(2_000_000), ..rules() }),
     ];
     println!("| figures | flood | unheard of those that mean it | cut | wait, 99th percentile ms | steady sessions broken |");
     println!("| --- | --- | --- | --- | --- | --- |");
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use indigohold::admission::Standing;
+use indigohold::admission::ConnState;
 use indigohold::control::client::Client;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -103,10 +103,10 @@
     let mut control = Client::new(&site.folder.0.join("run/control.sock"));
     until("its tally", || control.status().unwrap().clients["platform"].answered == 2 * CROWD as u64);
     let tally = control.status().unwrap().clients["platform"].clone();
-    let made_room = tally.evicted[&Standing::Once];
+    let made_room = tally.evicted[&ConnState::IdleAfterOne];
     assert_eq!((tally.accepted, tally.evicted.len()), (CROWD as u64 + 1, 1), "{tally:?}");
-    assert_eq!(tally.open[&Standing::Once] + made_room, CROWD as u64, "{tally:?}");
-    assert_eq!((tally.open[&Standing::Steady], tally.descriptor_shortages), (1, 0), "{tally:?}");
+    assert_eq!(tally.open[&ConnState::IdleAfterOne] + made_room, CROWD as u64, "{tally:?}");
+    assert_eq!((tally.open[&ConnState::IdleAfterMore], tally.descriptor_shortages), (1, 0), "{tally:?}");
     // SIGTERM with the lobby full: it ends in time, and those that stay see an end.
     let begun = Instant::now();
     program.signal("TERM");
