--- a/lab/src/deployments/play.rs
+++ b/lab/src/deployments/play.rs
@@ -4,7 +4,7 @@
 use super::{chance, Played, World};
 use crossbeam_channel::Receiver;
 use indigohold::core::{Answer, Core, End, Fetch, Note, Options, Order, Report};
-use indigohold::store::home::Memory;
+use indigohold::store::storage::MemoryStorage;
 use indigohold::store::{Journal, Req};
 use indigohold::{Micros, Outcome, PeerId, Settings};
 use rand::{Rng, SeedableRng};
@@ -70,8 +70,8 @@
 
 impl Play {
     pub fn new(settings: Settings, grace: u64, world: &World) -> Play {
-        let journal =
-            Journal::at(Box::new(Memory::default()), DISK, EPOCH).expect("memory can always be written");
+        let journal = Journal::open_storage(Box::new(MemoryStorage::default()), DISK, EPOCH)
+            .expect("memory can always be written");
         let (core, orders) = Core::new(settings.clone(), world.seed, EPOCH, journal, Options::default());
         let mut play = Play {
             seen: Seen::new(settings.clone(), grace),
@@ -246,7 +246,7 @@
             due,
             head: String::new(),
             body: self.body.clone(),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
         };
         match self.core.hand_in(now, vec![req]).pop() {
             Some(Answer::Taken(msg)) => {
--- a/lab/src/deployments/seen.rs
+++ b/lab/src/deployments/seen.rs
@@ -2,7 +2,7 @@
 
 use super::Played;
 use indigohold::core::{End, Fetch};
-use indigohold::store::Verdict;
+use indigohold::store::FinalOutcome;
 use indigohold::{DedupGroup, Effect, Micros, Settings};
 use std::collections::{BTreeMap, HashMap};
 
@@ -182,7 +182,7 @@
     }
 
     /// The core ends a message by a notice.
-    pub fn noticed(&mut self, now: Micros, msg: u64, verdict: Verdict) {
+    pub fn noticed(&mut self, now: Micros, msg: u64, verdict: FinalOutcome) {
         let Some(m) = self.msgs.get_mut(&msg) else {
             return self.broken(now, format!("a notice for {msg}, which is not held"));
         };
@@ -191,7 +191,7 @@
         let slack = self.settings.rules.answer_slack.unwrap_or_default();
         self.must(now, !twice, || format!("two ends of {msg}"));
         self.must(now, now <= due + slack + LOOK, || format!("the end of {msg} is late"));
-        if let Verdict::HandedBack(wait) = verdict {
+        if let FinalOutcome::HandedBack(wait) = verdict {
             self.must(now, safe || !risky, || format!("{msg} was handed back and may have run"));
             let most = self.settings.limits.max_retry_after;
             self.must(now, most.is_none_or(|most| wait <= most), || format!("stay away {} us", wait.0));
--- a/lab/src/virtual_time/life.rs
+++ b/lab/src/virtual_time/life.rs
@@ -4,7 +4,7 @@
 use crate::world::{CallNo, EndpointNo};
 use crossbeam_channel::Receiver;
 use indigohold::core::{Core, Fetch, Options, Order};
-use indigohold::store::home::Memory;
+use indigohold::store::storage::MemoryStorage;
 use indigohold::store::Journal;
 use indigohold::{
     Class, DecisionEngine, DiscoveryMode, Kind, Limits, Micros, Rules, Settings, Tenant, Weights, WorthDecay,
@@ -15,7 +15,7 @@
 #[derive(Default)]
 pub struct Machine {
     /// The folder that lasts.
-    pub disk: Memory,
+    pub disk: MemoryStorage,
     /// Lives so far.
     pub lives: u32,
     /// The one now.
@@ -75,10 +75,11 @@
 impl Life {
     /// A process that begins, with whatever its folder holds.
     pub fn new(
-        sender: Box<dyn DecisionEngine>, settings: &Settings, disk: Memory, bytes: u64, seed: u64,
+        sender: Box<dyn DecisionEngine>, settings: &Settings, disk: MemoryStorage, bytes: u64, seed: u64,
         now: Micros, number: u32,
     ) -> Life {
-        let journal = Journal::at(Box::new(disk), bytes, now).expect("memory can always be written");
+        let journal =
+            Journal::open_storage(Box::new(disk), bytes, now).expect("memory can always be written");
         let (core, orders) = Core::with_policy(sender, settings, seed, now, journal, Options::default());
         Life {
             number,
--- a/lab/src/virtual_time/mod.rs
+++ b/lab/src/virtual_time/mod.rs
@@ -12,7 +12,7 @@
 use indigohold::core::{
     Answer, End, EndpointRecord, EndpointState, Fetch, ListUpdate, Notice, Order, Report, Source,
 };
-use indigohold::store::{Req, Verdict};
+use indigohold::store::{FinalOutcome, Req};
 use indigohold::{Micros, Outcome, Settings};
 use life::{Life, Machine, Out, Stage};
 use rand::Rng;
@@ -329,7 +329,7 @@
             due: m.due,
             head: String::new(),
             body: self.body.clone(),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
         };
         self.put(Fact::HandedIn { msg, at: n });
         self.teach(n, dest);
@@ -440,7 +440,7 @@
         }
         self.put(Fact::Down(n, kill.loses_disk));
         if kill.loses_disk {
-            self.machines[n as usize].disk.lose();
+            self.machines[n as usize].disk.clear();
             self.pass_on(n);
         }
         self.at(self.now + Micros::from_secs(kill.away), Event::Starts(n));
@@ -602,8 +602,8 @@
             Order::Cancel { msg, attempt } => self.cancel(n, msg, attempt),
             Order::Notice(Notice { msg, req, verdict, .. }) => {
                 let wait = match verdict {
-                    Verdict::GivenUp => None,
-                    Verdict::HandedBack(wait) => Some(Some(wait.0)),
+                    FinalOutcome::GivenUp => None,
+                    FinalOutcome::HandedBack(wait) => Some(Some(wait.0)),
                 };
                 let at = self.now + self.hop();
                 self.at(at, Event::Noticed(n, number, msg, number_of(&req.id), wait));
--- a/src/admin/hand.rs
+++ b/src/admin/hand.rs
@@ -2,12 +2,12 @@
 //! that lasts before anybody is told yes, and then a version is raised that the core looks at.
 
 use crate::register::exclusions::{ExcludedEndpoints, ExclusionError, ListedNames, MAX_EXCLUDED_BYTES};
-use crate::store::sealed::Sealed;
+use crate::store::checksummed_file::ChecksummedFile;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-const FILE: Sealed = Sealed { name: "excluded", magic: "indigohold-excluded", version: 1 };
+const FILE: ChecksummedFile = ChecksummedFile { name: "excluded", magic: "indigohold-excluded", version: 1 };
 /// Room for that file in the folder that lasts, the one before and the one being written counted.
 pub const ROOM: u64 = 3 * (MAX_EXCLUDED_BYTES as u64 + 512);
 
@@ -96,7 +96,7 @@
         let names: Vec<&str> = next.names().collect();
         let body = serde_json::to_vec(&names).map_err(|e| e.to_string())?;
         // Danger: a yes that a kill undoes sends work to a machine that is being taken apart.
-        FILE.write(&self.dir, &FILE.seal(&body)).map_err(|e| format!("it can't be written down: {e}"))?;
+        FILE.write(&self.dir, &FILE.encode(&body)).map_err(|e| format!("it can't be written down: {e}"))?;
         *lock(&self.out) = Arc::new(next);
         self.version.fetch_add(1, Ordering::SeqCst);
         Ok(done.to_owned())
--- a/src/clock/anchor.rs
+++ b/src/clock/anchor.rs
@@ -4,13 +4,13 @@
 
 use super::{wall, Clock};
 use crate::api::Micros;
-use crate::store::sealed::Sealed;
+use crate::store::checksummed_file::ChecksummedFile;
 use rustix::time::{clock_gettime, ClockId};
 use std::io;
 use std::path::{Path, PathBuf};
 
 /// The anchor's file in the state folder.
-const ANCHOR_FILE: Sealed = Sealed { name: "clock", magic: "indigohold-clock", version: 1 };
+const ANCHOR_FILE: ChecksummedFile = ChecksummedFile { name: "clock", magic: "indigohold-clock", version: 1 };
 /// The disk space that the anchor takes in the state folder, in bytes: one block each for the file, its predecessor and the
 /// file being written.
 pub const DISK_BYTES: u64 = 3 * 512;
@@ -57,7 +57,7 @@
 
     /// Writes the anchor to a state folder.
     pub fn write(&self, dir: &Path) -> io::Result<()> {
-        ANCHOR_FILE.write(dir, &ANCHOR_FILE.seal(self.encode().as_bytes()))
+        ANCHOR_FILE.write(dir, &ANCHOR_FILE.encode(self.encode().as_bytes()))
     }
 
     fn encode(&self) -> String {
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -1,7 +1,8 @@
 //! Admission of reqs: each is accepted or refused at once, and accepted reqs are in the journal before they are answered.
 
 use super::{
-    policy_message, returned_event, Answer, Core, Order, PendingMessage, Req, Verdict, DEFAULT_RETRY_AFTER,
+    policy_message, returned_event, Answer, Core, FinalOutcome, Order, PendingMessage, Req,
+    DEFAULT_RETRY_AFTER,
 };
 use crate::admin::figures::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
@@ -64,7 +65,7 @@
             held.accepted_from_other_client = true;
             return Some(Answer::Known);
         }
-        if self.journal.knows(&req.id, now) {
+        if self.journal.knows_id(&req.id, now) {
             return Some(Answer::Known);
         }
         if let Some(turn) = self.draining.refusal(now, req) {
@@ -96,7 +97,7 @@
             }
         };
         // Reqs that the journal could not record are refused.
-        let taken = self.journal.take(&batch).unwrap_or(0);
+        let taken = self.journal.accept(&batch).unwrap_or(0);
         for (msg, req) in &batch[taken..] {
             self.figures.count(Ended::Rejected, req.class);
             refuse(*msg, stay_away);
@@ -126,8 +127,8 @@
         for (id, verdict) in asking {
             let wait = match verdict {
                 None => continue,
-                Some(Verdict::HandedBack(wait)) => wait,
-                Some(Verdict::GivenUp) => stay_away,
+                Some(FinalOutcome::HandedBack(wait)) => wait,
+                Some(FinalOutcome::GivenUp) => stay_away,
             };
             // If a refusal were not in the journal, a killed process would resume the message and deliver it beside the copy
             // that the client submitted elsewhere. In that case the message counts as accepted, and its end is notified.
@@ -137,7 +138,7 @@
                     self.message_ended(now, id, Some(Ended::Rejected));
                     refuse(id, wait);
                 }
-                Err(_) => self.verdict(now, id, verdict.unwrap_or(Verdict::GivenUp), &mut []),
+                Err(_) => self.verdict(now, id, verdict.unwrap_or(FinalOutcome::GivenUp), &mut []),
             }
         }
     }
@@ -168,5 +169,5 @@
 /// was derived from the message itself, so nothing but front and destination is compared: trace headers may differ by now.
 fn is_same_message(a: &Req, b: &Req) -> bool {
     let of = |r: &Req| (r.class, r.tenant, r.head.clone());
-    a.front == b.front && a.dest == b.dest && (a.keep_id.0 > 0 || of(a) == of(b) && a.body == b.body)
+    a.front == b.front && a.dest == b.dest && (a.keep_id_until.0 > 0 || of(a) == of(b) && a.body == b.body)
 }
--- a/src/core/attempt_log.rs
+++ b/src/core/attempt_log.rs
@@ -3,9 +3,9 @@
 //! Each change of state is logged to the target `attempts` at `debug`. For messages that an earlier process may have sent
 //! it is logged at `info`: they are few, and may be repeated only within their deduplication group and window.
 
-use super::{Core, End, Fetch, Verdict};
+use super::{Core, End, Fetch, FinalOutcome};
 use crate::api::Micros;
-use crate::store::Owed;
+use crate::store::MessageState;
 use serde_json::{json, Value};
 
 /// Why the first byte of an attempt may not be sent. The variant names are written to logs.
@@ -71,17 +71,18 @@
     }
 
     /// Counts a message that is resumed from an earlier process, and logs it if a call of it may have run.
-    pub(super) fn resumed(&mut self, now: Micros, owed: &Owed) {
-        let first_call = owed.risk.as_ref().or(owed.open.as_ref());
+    pub(super) fn resumed(&mut self, now: Micros, owed: &MessageState) {
+        let first_call = owed.first_uncertain.as_ref().or(owed.open_attempt.as_ref());
         let Some((called_at, endpoint)) = first_call else {
-            let count = if owed.tries == 0 { &mut self.resumed_untried } else { &mut self.resumed_never_ran };
+            let count =
+                if owed.attempts == 0 { &mut self.resumed_untried } else { &mut self.resumed_never_ran };
             *count += 1;
             return;
         };
         self.resumed_may_have_run += 1;
         tracing::info!(
             target: "attempts",
-            id = %owed.req.id, class = owed.req.class, tries = owed.tries, called_at_ms = called_at.0 / 1_000,
+            id = %owed.req.id, class = owed.req.class, tries = owed.attempts, called_at_ms = called_at.0 / 1_000,
             called_ms_ago = (now - *called_at).0 / 1_000, endpoint = %endpoint, due_in_ms = (owed.req.due - now).0 / 1_000,
             "taken up: an earlier call may have run"
         );
@@ -98,7 +99,8 @@
     pub(super) fn note_begun(&mut self, now: Micros, fetch: &Fetch) {
         let counts = &mut self.figures.attempts;
         counts.begun += 1;
-        let first_call = self.journal.owed().get(&fetch.msg).and_then(|owed| owed.risk.as_ref());
+        let first_call =
+            self.journal.pending().get(&fetch.msg).and_then(|owed| owed.first_uncertain.as_ref());
         let Some((called_at, _)) = first_call else {
             tracing::debug!(
                 target: "attempts", id = %fetch.req.id, attempt = fetch.attempt, endpoint = %fetch.backend.name, "begins"
@@ -143,7 +145,7 @@
     }
 
     /// Logs that the outcome of a message is decided without delivery.
-    pub(super) fn note_verdict(&self, msg: u64, verdict: Verdict) {
+    pub(super) fn note_verdict(&self, msg: u64, verdict: FinalOutcome) {
         let Some(message) = self.messages.get(&msg) else { return };
         let (id, tries) = (&message.req.id, message.attempts);
         if message.resumed_may_have_run {
--- a/src/core/batches.rs
+++ b/src/core/batches.rs
@@ -166,7 +166,7 @@
             tenant: 0,
             dest: 1,
             due: Micros(due_ms * 1_000),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
             head: String::new(),
             body: Vec::new().into(),
         };
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -1,14 +1,16 @@
 //! Passes events to the decision module and carries out its actions as orders for the fronts.
 
 use super::batches::{self, OrderedAttempt};
-use super::{Core, Fetch, Notice, Order, Verdict};
+use super::{Core, Fetch, FinalOutcome, Notice, Order};
 use crate::admin::figures::Ended;
 use crate::api::{Action, Event, Micros};
 
 impl Core {
     /// Passes events to the decision module and carries out its actions. A verdict on a req that is just being submitted
     /// (`submitted`) is stored there as its answer and becomes no order.
-    pub(super) fn feed(&mut self, now: Micros, events: &[Event], submitted: &mut [(u64, Option<Verdict>)]) {
+    pub(super) fn feed(
+        &mut self, now: Micros, events: &[Event], submitted: &mut [(u64, Option<FinalOutcome>)],
+    ) {
         let (mut actions, mut unsent_events, mut tries) = (Vec::new(), Vec::new(), Vec::new());
         self.exchange_with_fleet(now);
         self.policy.handle(now, events, &mut actions);
@@ -18,9 +20,9 @@
                     tries.push(OrderedAttempt { msg: id.0, endpoint, timeout })
                 }
                 Action::Decline { id, retry_after } => {
-                    self.verdict(now, id.0, Verdict::HandedBack(retry_after), submitted);
+                    self.verdict(now, id.0, FinalOutcome::HandedBack(retry_after), submitted);
                 }
-                Action::Fail(id) => self.verdict(now, id.0, Verdict::GivenUp, submitted),
+                Action::Fail(id) => self.verdict(now, id.0, FinalOutcome::GivenUp, submitted),
                 Action::CancelAttempt { id, attempt } => match self.leave_waiting_line(id.0) {
                     Some(event) => unsent_events.push(event),
                     None => self.order(Order::Cancel { msg: id.0, attempt }),
@@ -109,7 +111,8 @@
 
     /// Records the end of a message that was not delivered and orders the notice to its client.
     pub(super) fn verdict(
-        &mut self, now: Micros, msg: u64, verdict: Verdict, submitted: &mut [(u64, Option<Verdict>)],
+        &mut self, now: Micros, msg: u64, verdict: FinalOutcome,
+        submitted: &mut [(u64, Option<FinalOutcome>)],
     ) {
         if let Some((_, answer)) = submitted.iter_mut().find(|(id, _)| *id == msg) {
             *answer = Some(verdict);
@@ -119,11 +122,11 @@
         if self.replays.contains(msg) {
             return;
         }
-        self.journal.verdict(msg, verdict);
+        self.journal.record_final_outcome(msg, verdict);
         self.note_verdict(msg, verdict);
         let Some(pending) = self.messages.get_mut(&msg) else { return };
         pending.decided = true;
-        let last_reply = self.journal.owed().get(&msg).map(|o| o.said.clone()).unwrap_or_default();
+        let last_reply = self.journal.pending().get(&msg).map(|o| o.last_reply.clone()).unwrap_or_default();
         let notice = Notice { msg, req: pending.req.clone(), verdict, last_reply };
         match &mut pending.orders_after_answer {
             Some(parked) => parked.push(Order::Notice(notice)),
--- a/src/core/draining.rs
+++ b/src/core/draining.rs
@@ -8,14 +8,15 @@
     self, Drain, DrainRequest, Drains, History, MessageAttributes, OutcomeCounts, Refusal, Rejection, Stage,
     Started,
 };
-use crate::store::sealed::Sealed;
-use crate::store::{Req, Verdict};
+use crate::store::checksummed_file::ChecksummedFile;
+use crate::store::{FinalOutcome, Req};
 use std::collections::BTreeMap;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
 
-const DRAINS_FILE: Sealed = Sealed { name: "drains", magic: "indigohold-drains", version: 1 };
+const DRAINS_FILE: ChecksummedFile =
+    ChecksummedFile { name: "drains", magic: "indigohold-drains", version: 1 };
 /// Disk space reserved for the drains file in the persistent folder, enough for the previous file and the new one.
 pub const RESERVED_DISK_BYTES: u64 = 128 * 1024;
 /// The longest time that a client may be told to wait if the settings name none.
@@ -144,7 +145,7 @@
     fn save(&self, drains: &Drains) -> io::Result<()> {
         let Some(dir) = &self.dir else { return Err(io::ErrorKind::Unsupported.into()) };
         let body = serde_json::to_vec(drains).map_err(io::Error::other)?;
-        DRAINS_FILE.write(dir, &DRAINS_FILE.seal(&body))
+        DRAINS_FILE.write(dir, &DRAINS_FILE.encode(&body))
     }
 
     /// Applies a change once it is written to disk. If it can't be written, nothing changes.
@@ -196,19 +197,20 @@
             let found: Vec<(u64, u16)> = found.map(|(msg, m)| (*msg, m.req.class)).collect();
             for (msg, class) in found {
                 let effect = self.draining.effects.get(usize::from(class)).copied().unwrap_or(Effect::Unsafe);
-                let owed = self.journal.owed().get(&msg);
-                let history = match owed.is_some_and(|o| o.risk.is_some() || o.open.is_some()) {
-                    true => History::MayHaveRun,
-                    false => History::NeverRan,
-                };
+                let owed = self.journal.pending().get(&msg);
+                let history =
+                    match owed.is_some_and(|o| o.first_uncertain.is_some() || o.open_attempt.is_some()) {
+                        true => History::MayHaveRun,
+                        false => History::NeverRan,
+                    };
                 let verdict = match drain::final_answer(effect, history) {
                     drain::Answer::HandBack => {
                         tally.handed_back += 1;
-                        Verdict::HandedBack(self.default_retry_after())
+                        FinalOutcome::HandedBack(self.default_retry_after())
                     }
                     drain::Answer::GiveUp => {
                         tally.given_up += 1;
-                        Verdict::GivenUp
+                        FinalOutcome::GivenUp
                     }
                 };
                 self.verdict(now, msg, verdict, &mut []);
--- a/src/core/fetch_calls.rs
+++ b/src/core/fetch_calls.rs
@@ -1,12 +1,12 @@
 //! Begin and end of fetches: the checks just before the first byte, and the effect of an outcome on the message.
 
 use super::attempt_log::Withheld;
-use super::{returned_event, Core, End, Fetch, FinishedFetch, Verdict, MIN_TIME_TO_BEGIN};
+use super::{returned_event, Core, End, Fetch, FinalOutcome, FinishedFetch, MIN_TIME_TO_BEGIN};
 use crate::admin::figures::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
 use crate::register::trust::{CallEnd, CallReport};
 use crate::register::RegistryEffects;
-use crate::store::How;
+use crate::store::EndKind;
 
 impl Core {
     /// Whether the first byte of a fetch may be sent now; if so, the journal has recorded the attempt.
@@ -30,7 +30,7 @@
             fetches.iter().zip(&reasons).filter(|(fetch, why)| why.is_none() && !is_replay(fetch));
         let attempts: Vec<(u64, &str)> =
             first_calls.map(|(fetch, _)| (fetch.msg, fetch.backend.name.as_str())).collect();
-        let recorded = self.journal.begin_all(now, &attempts).is_ok();
+        let recorded = self.journal.start_attempts(now, &attempts).is_ok();
         for (fetch, why) in fetches.iter().zip(&mut reasons).filter(|(_, why)| why.is_none()) {
             let goes = match self.replays.contains(fetch.msg) {
                 true => self.claim_replay(now, fetch.msg),
@@ -74,12 +74,12 @@
             return self.complete_while_inactive(all);
         }
         let (mut events, mut rejected) = (Vec::with_capacity(all.len()), Vec::new());
-        self.journal.gather();
+        self.journal.begin_batch();
         all.into_iter().for_each(|over| self.fetch_done(now, over, &mut events, &mut rejected));
         // A retry or a notice must not be ordered before the journal has the outcome of the last call.
-        self.journal.written();
+        self.journal.write_batch();
         self.queue_ended_messages();
-        rejected.into_iter().for_each(|msg| self.verdict(now, msg, Verdict::GivenUp, &mut []));
+        rejected.into_iter().for_each(|msg| self.verdict(now, msg, FinalOutcome::GivenUp, &mut []));
         self.write_memory_if_due(now);
         if !events.is_empty() {
             self.feed(now, &events, &mut []);
@@ -124,13 +124,13 @@
             End::CalledOff => (Outcome::Cancelled, false),
         };
         if end != End::Delivered {
-            self.journal.outcome(fetch.msg, end.may_have_run(), &said);
+            self.journal.record_outcome(fetch.msg, end.may_have_run(), &said);
         }
         match end {
             End::Delivered => {
-                self.finish_message(now, fetch.msg, Ended::Completed, How::Delivered, Some(&said))
+                self.finish_message(now, fetch.msg, Ended::Completed, EndKind::Delivered, Some(&said))
             }
-            End::Over => self.finish_message(now, fetch.msg, Ended::Failed, How::GivenUp, None),
+            End::Over => self.finish_message(now, fetch.msg, Ended::Failed, EndKind::GivenUp, None),
             End::Rejected if self.messages.get(&fetch.msg).is_some_and(|m| !m.decided) => {
                 rejected.push(fetch.msg);
             }
--- a/src/core/handover.rs
+++ b/src/core/handover.rs
@@ -98,7 +98,7 @@
     /// Gives the journal to another process, which receives the ends of the calls that are still in flight.
     fn hand_over(&mut self, to: Sender<CompletedCall>) {
         let begun = |(msg, m): &(&u64, &PendingMessage)| {
-            m.in_flight && self.journal.owed().get(*msg).is_some_and(|o| o.open.is_some())
+            m.in_flight && self.journal.pending().get(*msg).is_some_and(|o| o.open_attempt.is_some())
         };
         let in_flight = self.messages.iter().filter(begun).count();
         let handed_over = Ownership::HandedOver { to: Some(to).filter(|_| in_flight > 0), in_flight };
@@ -142,7 +142,8 @@
     fn forward_completed(&mut self, fetches: Vec<FinishedFetch>) {
         let Ownership::HandedOver { to, in_flight } = &mut self.mode else { return };
         for FinishedFetch { fetch, end, latency, load, said } in fetches {
-            let begun = self.journal.owed().get(&fetch.msg).is_some_and(|owed| owed.open.is_some());
+            let begun =
+                self.journal.pending().get(&fetch.msg).is_some_and(|owed| owed.open_attempt.is_some());
             if begun && self.messages.get_mut(&fetch.msg).is_some_and(|m| std::mem::take(&mut m.in_flight)) {
                 // A send error means that the new process is gone; the journal records what may have run.
                 let call = CompletedCall { msg: fetch.msg, end, latency, load, reply: said };
@@ -167,47 +168,48 @@
     /// Resumes the messages that the journal lists as pending. Calls that the journal has as open are still in flight in
     /// the process that handed over.
     pub(super) fn resume(&mut self, now: Micros, received: Option<&HandoverState>) {
-        let owed = self.journal.owed().clone();
+        let owed = self.journal.pending().clone();
         let mut events = Vec::new();
         for (id, owed) in owed {
-            if owed.verdict.is_none() {
+            if owed.final_outcome.is_none() {
                 self.figures.attempts.resumed(now, &owed);
             }
             let req = owed.req;
             self.messages_by_id.insert(req.id.clone(), id);
-            let decided = owed.verdict.is_some();
+            let decided = owed.final_outcome.is_some();
             let answering = received.is_some_and(|state| state.answering.contains(&id));
             let msg = PendingMessage {
                 req: req.clone(),
-                attempts: owed.tries as u8,
+                attempts: owed.attempts as u8,
                 orders_after_answer: answering.then(Vec::new),
                 decided,
                 accepted_from_other_client: false,
-                resumed_may_have_run: owed.risk.is_some() || owed.open.is_some(),
+                resumed_may_have_run: owed.first_uncertain.is_some() || owed.open_attempt.is_some(),
                 in_flight: false,
                 waiting_batch: None,
             };
             let held = self.messages.entry(id).or_insert(msg);
-            if let Some(verdict) = owed.verdict {
-                let notice = Order::Notice(Notice { msg: id, req, verdict, last_reply: owed.said });
+            if let Some(verdict) = owed.final_outcome {
+                let notice = Order::Notice(Notice { msg: id, req, verdict, last_reply: owed.last_reply });
                 match &mut held.orders_after_answer {
                     Some(parked) => parked.push(notice),
                     None => drop(self.order_sender.send(notice)),
                 }
                 continue;
             }
-            match owed.open {
+            match owed.open_attempt {
                 Some((sent, name)) => {
                     held.in_flight = true;
-                    let risk = owed.risk.map(|(at, name)| (at, self.endpoint_id(req.front, &name)));
+                    let risk =
+                        owed.first_uncertain.map(|(at, name)| (at, self.endpoint_id(req.front, &name)));
                     let at = self.endpoint_id(req.front, &name);
                     events.push(Event::Resumed {
                         message: super::policy_message(id, &req),
-                        attempts: owed.tries,
+                        attempts: owed.attempts,
                         first_uncertain: risk,
                     });
                     events.push(Event::CallInFlight { id: MessageId(id), endpoint: at, sent });
-                    let attempt = owed.tries.saturating_sub(1) as u8;
+                    let attempt = owed.attempts.saturating_sub(1) as u8;
                     // The address is not used: the connection belongs to the old process.
                     let backend =
                         Arc::new(Backend { name, addr: SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0)) });
@@ -216,10 +218,11 @@
                         .insert(id, Fetch { msg: id, attempt, endpoint: at, backend, req, deadline: until });
                 }
                 None => {
-                    let risk = owed.risk.map(|(at, name)| (at, self.endpoint_id(req.front, &name)));
+                    let risk =
+                        owed.first_uncertain.map(|(at, name)| (at, self.endpoint_id(req.front, &name)));
                     events.push(Event::Resumed {
                         message: super::policy_message(id, &req),
-                        attempts: owed.tries,
+                        attempts: owed.attempts,
                         first_uncertain: risk,
                     });
                 }
--- a/src/core/history_feed.rs
+++ b/src/core/history_feed.rs
@@ -8,7 +8,7 @@
 use crate::history::keeper::Keeper;
 use crate::history::rider::Held;
 use crate::history::shelf::Shelf;
-use crate::store::How;
+use crate::store::EndKind;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -32,10 +32,10 @@
     /// Aligns the history with the journal at the start. Messages that are pending in the journal are the journal's; messages
     /// that ended there and are missing in the history are added. New message numbers follow the highest of both.
     pub(super) fn open_history(&mut self, now: Micros, keeper: Option<Keeper>) {
-        let ends = self.journal.ended();
+        let ends = self.journal.take_ended();
         if let Some(mut keeper) = keeper {
-            let mark = keeper.take_up(now, self.journal.owed().keys().copied(), &ends);
-            self.journal.ends_from(mark);
+            let mark = keeper.take_up(now, self.journal.pending().keys().copied(), &ends);
+            self.journal.continue_numbers_after(mark);
             let ended = ends.iter().map(|end| end.msg + 1).max().unwrap_or(0);
             self.next_message = self.next_message.max(keeper.next_number()).max(ended);
             self.history = Some(HistoryFeed {
@@ -44,20 +44,20 @@
                 discarding: false,
             });
         }
-        let last = self.journal.last_end();
-        self.journal.kept(last);
+        let last = self.journal.last_end_number();
+        self.journal.release_up_to(last);
     }
 
     /// Finishes a message that has ended and whose client needs no further notice.
     pub(super) fn finish_message(
-        &mut self, now: Micros, msg: u64, ended: Ended, how: How, said: Option<&str>,
+        &mut self, now: Micros, msg: u64, ended: Ended, how: EndKind, said: Option<&str>,
     ) {
         let Some(past) = self.history.as_mut().filter(|past| !past.shelf.closed()) else {
-            let past = self.history.as_ref().filter(|_| self.journal.owed().contains_key(&msg));
+            let past = self.history.as_ref().filter(|_| self.journal.pending().contains_key(&msg));
             past.into_iter().for_each(|past| past.shelf.give_way());
             return self.end_message(now, msg, Some(ended));
         };
-        if self.journal.end_kept(msg, now, how, said) {
+        if self.journal.end_for_history(msg, now, how, said) {
             past.discarding = false;
         } else {
             past.shelf.give_way();
@@ -70,8 +70,8 @@
 
     /// Queues the ended messages that the journal has written.
     pub(super) fn queue_ended_messages(&mut self) {
-        let Some(past) = self.history.as_ref().filter(|_| !self.journal.behind()) else { return };
-        let ends = self.journal.ended();
+        let Some(past) = self.history.as_ref().filter(|_| !self.journal.has_unwritten()) else { return };
+        let ends = self.journal.take_ended();
         if !ends.is_empty() {
             past.shelf.lay(ends);
         }
@@ -83,7 +83,7 @@
         let upto = past.shelf.upto();
         if upto > past.released_up_to {
             past.released_up_to = upto;
-            self.journal.kept(upto);
+            self.journal.release_up_to(upto);
         }
     }
 }
--- a/src/core/journal_outage.rs
+++ b/src/core/journal_outage.rs
@@ -23,7 +23,7 @@
     /// process would resume the message and deliver it although the client was told to submit it elsewhere. After the
     /// message's deadline nothing is delivered, so the notice goes out without the record.
     pub(super) fn send_notice(&mut self, now: Micros, notice: Notice) {
-        if self.journal.behind() && now < notice.req.due {
+        if self.journal.has_unwritten() && now < notice.req.due {
             self.journal_outage.deferred_notices.push(notice);
         } else {
             self.order(Order::Notice(notice));
@@ -32,15 +32,15 @@
 
     /// Retries the records that the journal could not write, and sends the notices that waited for them.
     pub(super) fn retry_journal(&mut self, now: Micros) {
-        if self.journal.failing() && now >= self.journal_outage.retry_at {
+        if self.journal.needs_repair() && now >= self.journal_outage.retry_at {
             self.journal_outage.retry_at = now + RETRY_INTERVAL;
             // An error leaves the records pending until the next retry.
-            let _ = self.journal.catch_up();
+            let _ = self.journal.repair();
         }
-        let failing = self.journal.failing() || !self.journal.failure().is_empty();
+        let failing = self.journal.needs_repair() || !self.journal.last_failure().is_empty();
         match (std::mem::replace(&mut self.journal_outage.was_failing, failing), failing) {
             (false, true) => {
-                let why = self.journal.failure();
+                let why = self.journal.last_failure();
                 tracing::error!(target: "journal", "it can't be written, and nothing is taken on until it can: {why}");
             }
             (true, false) => {
@@ -62,6 +62,6 @@
         let mut state = self.state();
         state.journal_outage.retry_at = now;
         state.retry_journal(now);
-        !state.journal.behind()
+        !state.journal.has_unwritten()
     }
 }
--- a/src/core/memory.rs
+++ b/src/core/memory.rs
@@ -5,11 +5,11 @@
 use crate::comeback::memory::{
     demand_to_store, initial_send_rate, Demand, KnownOutage, Memory, Waits, WriteSchedule,
 };
-use crate::store::sealed::Sealed;
+use crate::store::checksummed_file::ChecksummedFile;
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 
-const FILE: Sealed = Sealed { name: "memory", magic: "indigohold-memory", version: 1 };
+const FILE: ChecksummedFile = ChecksummedFile { name: "memory", magic: "indigohold-memory", version: 1 };
 /// Disk space for the file, its previous version and the version being written.
 pub const MAX_FOLDER_BYTES: u64 = 256 * 1024;
 
@@ -128,7 +128,7 @@
             return self.memory_file.write_schedule.written(now, true);
         }
         self.memory_file.written_empty = idle;
-        let written = FILE.write(dir, &FILE.seal(&memory.to_bytes()));
+        let written = FILE.write(dir, &FILE.encode(&memory.to_bytes()));
         self.memory_file.write_schedule.written(now, written.is_ok());
         let failed = written.as_ref().err();
         if let (Some(e), false) = (failed, self.memory_file.write_failed) {
--- a/src/core/message_lookup.rs
+++ b/src/core/message_lookup.rs
@@ -109,7 +109,7 @@
 
 impl Core {
     fn held_state(&self, msg: u64, held: &super::PendingMessage) -> HeldState {
-        let decided = || self.journal.owed().get(&msg).is_some_and(|owed| owed.verdict.is_some());
+        let decided = || self.journal.pending().get(&msg).is_some_and(|owed| owed.final_outcome.is_some());
         match held.in_flight {
             true => HeldState::InFlight,
             false if decided() => HeldState::NoticePending,
@@ -122,7 +122,7 @@
         let held = self.messages_by_id.get(id).and_then(|msg| Some((*msg, self.messages.get(msg)?)));
         if let Some((msg, held)) = held {
             let req = &held.req;
-            let open = self.journal.owed().get(&msg).and_then(|owed| owed.open.as_ref());
+            let open = self.journal.pending().get(&msg).and_then(|owed| owed.open_attempt.as_ref());
             return MessageLocation::Held {
                 message: HeldMessage {
                     dest: req.dest,
@@ -137,7 +137,7 @@
         }
         match self.recent_outcomes.outcomes_by_id.get(id) {
             Some((how, at)) => MessageLocation::Ended { how: *how, at: *at },
-            None if self.journal.knows(id, now) => MessageLocation::KnownDuplicate,
+            None if self.journal.knows_id(id, now) => MessageLocation::KnownDuplicate,
             None => MessageLocation::Unknown,
         }
     }
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -30,8 +30,8 @@
 use crate::comeback::memory::Waits;
 use crate::history::keeper::Keeper;
 use crate::register::{Registry, RegistryEffects, RegistryRules};
-use crate::store::{How, Journal};
-pub use crate::store::{Req, Verdict};
+use crate::store::{EndKind, Journal};
+pub use crate::store::{FinalOutcome, Req};
 use crate::Sender;
 use batches::Batches;
 use crossbeam_channel::Receiver;
@@ -175,7 +175,7 @@
         let draining =
             Draining::new(options.drain_dir.as_deref(), effects, max_retry_after, options.own_class);
         let (order_sender, orders) = crossbeam_channel::unbounded();
-        let next_message = journal.owed().keys().next_back().map_or(0, |m| m + 1).max(now.0);
+        let next_message = journal.pending().keys().next_back().map_or(0, |m| m + 1).max(now.0);
         let batches = Batches::new(settings.kinds.iter().map(|k| k.max_batch_size).collect());
         let max_pending = settings.limits.max_open.map_or(usize::MAX, |m| m as usize);
         let mut core = Core {
@@ -323,9 +323,10 @@
                 self.fetches_done(now, vec![FinishedFetch { fetch, end, latency, load, said: reply }]);
             }
             Report::NoticeDelivered(msg) => {
-                let (ended, how) = match self.journal.owed().get(&msg).and_then(|owed| owed.verdict) {
-                    Some(Verdict::HandedBack(_)) => (Ended::Rejected, How::HandedBack),
-                    _ => (Ended::Failed, How::GivenUp),
+                let (ended, how) = match self.journal.pending().get(&msg).and_then(|owed| owed.final_outcome)
+                {
+                    Some(FinalOutcome::HandedBack(_)) => (Ended::Rejected, EndKind::HandedBack),
+                    _ => (Ended::Failed, EndKind::GivenUp),
                 };
                 self.finish_message(now, msg, ended, how, None);
                 self.queue_ended_messages();
--- a/src/core/orders.rs
+++ b/src/core/orders.rs
@@ -1,7 +1,7 @@
 //! The messages between the core and the fronts: orders from the core, reports to it, and its answers.
 
 pub use super::neighbours::{Note, Probe};
-use super::{Backend, Req, Verdict};
+use super::{Backend, FinalOutcome, Req};
 use crate::api::{EndpointId, Micros, PeerId};
 use crate::register::trust::CallEnd;
 pub use crate::register::{EndpointRecord, EndpointState, ListUpdate, Source};
@@ -32,7 +32,7 @@
     /// The req.
     pub req: Arc<Req>,
     /// How the message ended.
-    pub verdict: Verdict,
+    pub verdict: FinalOutcome,
     /// The text of the last reply that a backend gave for it.
     pub last_reply: String,
 }
--- a/src/core/replaying.rs
+++ b/src/core/replaying.rs
@@ -258,7 +258,7 @@
             due,
             head: kept.head,
             body: kept.body.into(),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
         };
         if self.draining.refusal(now, &req).is_some() {
             self.replays.run_mut(id).into_iter().for_each(|run| run.put_back(number));
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -230,6 +230,6 @@
     /// A front's list as it is to be stored on disk, and the bytes that the journal occupies beside it.
     pub fn list_to_store(&self, front: u8) -> Option<(ListSnapshot, u64)> {
         let state = self.state();
-        Some((state.register.front(front)?.snapshot()?, state.journal.on_disk()))
+        Some((state.register.front(front)?.snapshot()?, state.journal.disk_bytes()))
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -18,7 +18,7 @@
 use crate::register::kept_copy::{self, KeptCopyRules, KeptCopyWriter};
 use crate::register::list::ParsedList;
 use crate::register::static_file::StaticFile;
-use crate::store::{owner, Journal, Succession};
+use crate::store::{owner, Journal, StartMode};
 use crate::upgrade::{self, inherited_socket};
 pub(crate) use parts::classes_of;
 use parts::{file, keep_list, reload, share, tell_damages};
@@ -102,7 +102,7 @@
         + for_copy
         + for_drains
         + for_hand
-        + owner::ROOM
+        + owner::OWNER_FILE_DISK_BYTES
         + memory::MAX_FOLDER_BYTES
         + anchor::DISK_BYTES;
     let room = disk.saturating_sub(others + for_history);
@@ -126,7 +126,7 @@
         (passed, taken_listener) = (Some(taken.state), taken.listener);
         (sessions, ends) = (taken.connections, Some(taken.call_ends));
     }
-    let succession = if taken_over { Succession::HandOver } else { Succession::Restart };
+    let succession = if taken_over { StartMode::Handover } else { StartMode::Restart };
     let journal = Journal::open_as(&state, room, clock.now(), owner.claim.incarnation, succession)
         .map_err(|e| in_state(&e))?;
     tell_damages(&journal);
--- a/src/daemon/parts.rs
+++ b/src/daemon/parts.rs
@@ -50,7 +50,7 @@
     let claim = move |now, known| {
         // Held or empty: the folder is being handed over, or has been.
         let mut owner = owner.try_lock().ok()?;
-        let raised = owner.as_mut()?.raise(now, known);
+        let raised = owner.as_mut()?.raise_incarnation(now, known);
         raised.map_err(|e| tracing::error!(target: "peers", "no higher life can be claimed: {e}")).ok()
     };
     Some(Shared { config, place, riders: riders::riders(courier, place, learnt), claim: Box::new(claim) })
@@ -61,7 +61,7 @@
     let (damages, doubted) = journal.damages();
     for damage in damages {
         let (segment, bytes, at) = (damage.segment, damage.bytes.len(), damage.bytes.start);
-        tracing::error!(target: "journal", segment, at, bytes, "damaged: {}", damage.what);
+        tracing::error!(target: "journal", segment, at, bytes, "damaged: {}", damage.description);
     }
     if !damages.is_empty() {
         tracing::error!(
--- a/src/history/index.rs
+++ b/src/history/index.rs
@@ -3,7 +3,7 @@
 use super::config::{HistoryConfig, Policy};
 use super::replay::Claim;
 use super::retention::{About, Book};
-use super::store::{How, Kept};
+use super::store::{EndKind, Kept};
 use crate::api::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,7 +26,7 @@
         let Kept { tenant, class, dest, ended, .. } = *kept;
         let about = About { tenant, class, dest, ended };
         let (first, at) = kept.first.clone();
-        Meta { about, bytes, delivered: kept.how == How::Delivered, first, at, claims: BTreeMap::new() }
+        Meta { about, bytes, delivered: kept.how == EndKind::Delivered, first, at, claims: BTreeMap::new() }
     }
 }
 
--- a/src/history/keeper.rs
+++ b/src/history/keeper.rs
@@ -6,7 +6,7 @@
 use super::retention::{Entry, Scope};
 use super::store::{Counts, History};
 use crate::api::Micros;
-use crate::store::Ended;
+use crate::store::EndedMessage;
 use std::collections::BTreeMap;
 use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -162,7 +162,9 @@
 
     /// What the journal owes is not of the history, and what has ended there and is not here is put in: a former life was killed
     /// before it had. Says which number the journal's ends go on behind.
-    pub fn take_up(&mut self, now: Micros, owed: impl IntoIterator<Item = u64>, ends: &[Ended]) -> u64 {
+    pub fn take_up(
+        &mut self, now: Micros, owed: impl IntoIterator<Item = u64>, ends: &[EndedMessage],
+    ) -> u64 {
         let Some(history) = &mut self.history else { return 0 };
         let done = guarded(|| {
             history.still_owed(owed)?;
@@ -185,7 +187,7 @@
 
     /// These have ended, by the journal's word, the oldest first. Once this returns the journal may let go of them: they are here,
     /// or counted. Nobody waits for it, so a file that is slow is not closed; but it is told ([`Keeper::slow`]).
-    pub fn take_in(&mut self, now: Micros, ends: &[Ended]) {
+    pub fn take_in(&mut self, now: Micros, ends: &[EndedMessage]) {
         let began = (self.watch)();
         let Some(history) = &mut self.history else {
             self.unkept += ends.len() as u64;
--- a/src/history/keeper/tests.rs
+++ b/src/history/keeper/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::history::config::parse;
-use crate::store::{How, Owed};
+use crate::store::{EndKind, MessageState};
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     Keeper::open(dir, parse(text, &[], &[]).unwrap(), 1, 1, Micros(0), Box::new(watch))
 }
 
-fn owed() -> Owed {
+fn owed() -> MessageState {
     let req = crate::store::Req {
         id: "m".into(),
         front: 0,
@@ -21,13 +21,20 @@
         due: Micros(0),
         head: String::new(),
         body: vec![7; 100].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     };
-    Owed { req: Arc::new(req), tries: 1, risk: None, open: None, verdict: None, said: String::new() }
+    MessageState {
+        req: Arc::new(req),
+        attempts: 1,
+        first_uncertain: None,
+        open_attempt: None,
+        final_outcome: None,
+        last_reply: String::new(),
+    }
 }
 
-fn ended(seq: u64) -> Ended {
-    Ended { seq, msg: seq, owed: owed(), at: Micros(seq), how: How::Delivered }
+fn ended(seq: u64) -> EndedMessage {
+    EndedMessage { seq, msg: seq, state: owed(), at: Micros(seq), how: EndKind::Delivered }
 }
 
 /// Nobody waits for the file but who sends again: it keeps away, and nothing is lost.
--- a/src/history/shelf.rs
+++ b/src/history/shelf.rs
@@ -4,7 +4,7 @@
 
 use super::keeper::Keeper;
 use crate::api::Micros;
-use crate::store::Ended;
+use crate::store::EndedMessage;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, TryLockError};
 use std::thread;
@@ -18,7 +18,7 @@
 /// See above.
 pub struct Shelf {
     keeper: Mutex<Option<Keeper>>,
-    ends: Mutex<Vec<Ended>>,
+    ends: Mutex<Vec<EndedMessage>>,
     /// All ends up to this one are in the file, or never will be.
     upto: AtomicU64,
     closed: AtomicBool,
@@ -46,7 +46,7 @@
     }
 
     /// These have ended, in the journal's order.
-    pub fn lay(&self, mut ends: Vec<Ended>) {
+    pub fn lay(&self, mut ends: Vec<EndedMessage>) {
         self.ends.lock().unwrap_or_else(PoisonError::into_inner).append(&mut ends);
     }
 
--- a/src/history/store.rs
+++ b/src/history/store.rs
@@ -12,8 +12,8 @@
 use super::retention::{decode, encode, About, Book, Entry, Scope};
 use super::taking::{put_mark, MARK};
 use crate::api::Micros;
-pub use crate::store::How;
-use crate::store::Owed;
+pub use crate::store::EndKind;
+use crate::store::MessageState;
 use redb::{Database, ReadableTable, TableDefinition, WriteTransaction};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -59,7 +59,7 @@
     /// When it ended.
     pub ended: Micros,
     /// How.
-    pub how: How,
+    pub how: EndKind,
     /// What a backend last said of it.
     pub said: String,
 }
@@ -223,17 +223,23 @@
 
     /// A message ends, in the journal's words. It is kept if any policy says so; the same number again is the same message.
     /// Nothing is on disk before [`History::write`].
-    pub fn ended(&mut self, now: Micros, number: u64, owed: &Owed, how: How) {
+    pub fn ended(&mut self, now: Micros, number: u64, owed: &MessageState, how: EndKind) {
         self.take_one(now, now, number, owed, how);
     }
 
-    pub(super) fn take_one(&mut self, now: Micros, ended: Micros, number: u64, owed: &Owed, how: How) {
+    pub(super) fn take_one(
+        &mut self, now: Micros, ended: Micros, number: u64, owed: &MessageState, how: EndKind,
+    ) {
         let req = &owed.req;
         let about = About { tenant: req.tenant, class: req.class, dest: req.dest, ended };
         if self.book.gone(now, &about).is_some() {
             return;
         }
-        let first = owed.risk.clone().or_else(|| owed.open.clone()).unwrap_or((ended, String::new()));
+        let first = owed
+            .first_uncertain
+            .clone()
+            .or_else(|| owed.open_attempt.clone())
+            .unwrap_or((ended, String::new()));
         let kept = Kept {
             id: req.id.clone(),
             front: req.front,
@@ -246,7 +252,7 @@
             first,
             ended,
             how,
-            said: owed.said.clone(),
+            said: owed.last_reply.clone(),
         };
         let bytes = (kept.body.len() + kept.head.len()) as u64 + BESIDE;
         if bytes > self.index.room / 4 {
--- a/src/history/taking.rs
+++ b/src/history/taking.rs
@@ -2,7 +2,7 @@
 
 use super::store::{other, History};
 use crate::api::Micros;
-use crate::store::Ended;
+use crate::store::EndedMessage;
 use redb::{TableDefinition, WriteTransaction};
 use std::io;
 
@@ -18,18 +18,18 @@
 
 impl History {
     /// Puts away what has ended, by the journal's word, the oldest first. What may not be kept by now is passed by.
-    pub fn take_in(&mut self, now: Micros, ends: &[Ended]) {
+    pub fn take_in(&mut self, now: Micros, ends: &[EndedMessage]) {
         for end in ends {
             // Danger: one that is here and behind the mark would be put in twice, and forget who has sent it again.
             self.mark = self.mark.max(Some(end.seq));
-            self.take_one(now, end.at, end.msg, &end.owed, end.how);
+            self.take_one(now, end.at, end.msg, &end.state, end.how);
         }
         self.write(now);
     }
 
     /// The same at a start, with all that the folder's journal has; says how many were taken in. Danger: a file that is new has
     /// lost what it knew of forgetting, and may have lost it together with what was forgotten: nothing comes back into it.
-    pub fn catch_up(&mut self, now: Micros, ends: &[Ended]) -> io::Result<usize> {
+    pub fn catch_up(&mut self, now: Micros, ends: &[EndedMessage]) -> io::Result<usize> {
         let last = ends.last().map_or(0, |end| end.seq);
         let Some(mark) = self.mark else {
             self.counts.unwritten += ends.len() as u64;
--- a/src/net/ask/kinds/history.rs
+++ b/src/net/ask/kinds/history.rs
@@ -7,7 +7,7 @@
 use crate::control::shape::Words;
 use crate::history::reading::{Mark, Page};
 use crate::history::retention::{About, Scope, ANY};
-use crate::history::store::{How, Kept};
+use crate::history::store::{EndKind, Kept};
 use crate::net::ask::shape::{plain, AnswerShape};
 use serde::{Deserialize, Serialize};
 use serde_json::{json, Value};
@@ -51,9 +51,9 @@
 impl Row {
     fn of(number: u64, kept: &Kept, words: &Words) -> Row {
         let how = match kept.how {
-            How::Delivered => "delivered",
-            How::GivenUp => "given_up",
-            How::HandedBack => "handed_back",
+            EndKind::Delivered => "delivered",
+            EndKind::GivenUp => "given_up",
+            EndKind::HandedBack => "handed_back",
         };
         Row {
             courier: String::new(),
--- a/src/net/mail/bounce.rs
+++ b/src/net/mail/bounce.rs
@@ -4,7 +4,7 @@
 use super::client::Envelope;
 use super::{Mail, FRONT};
 use crate::api::Micros;
-use crate::core::{Answer, Notice, Report, Req, Verdict};
+use crate::core::{Answer, FinalOutcome, Notice, Report, Req};
 use crossbeam_channel::Receiver;
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -85,7 +85,7 @@
         due: now + mail.config.deadlines[usize::from(mail.config.bounce_class)],
         body: text(mail, notice, &envelope, now).into(),
         head: Envelope { from: String::new(), to }.head(),
-        keep_id: now + mail.config.remember,
+        keep_id_until: now + mail.config.remember,
     })
 }
 
@@ -97,7 +97,7 @@
 fn text(mail: &Mail, notice: &Notice, envelope: &Envelope, now: Micros) -> Vec<u8> {
     let (host, id, to) = (&mail.config.hostname, &notice.req.id, &envelope.to);
     let (status, why) = match notice.verdict {
-        Verdict::HandedBack(wait) => (
+        FinalOutcome::HandedBack(wait) => (
             "4.4.7",
             format!(
                 "It was not delivered in time, and it has not taken effect.\r\n\
@@ -105,10 +105,10 @@
                 wait.0.div_ceil(1_000_000)
             ),
         ),
-        Verdict::GivenUp if notice.last_reply.starts_with('5') => {
+        FinalOutcome::GivenUp if notice.last_reply.starts_with('5') => {
             ("5.0.0", "The partner's server has refused it. It has not taken effect.".to_owned())
         }
-        Verdict::GivenUp => (
+        FinalOutcome::GivenUp => (
             "4.4.2",
             "It was handed to the partner's server, which did not say whether it took it.\r\n\
              It may have taken effect. It was not sent again, so that it takes effect only once."
--- a/src/net/mail/server.rs
+++ b/src/net/mail/server.rs
@@ -340,7 +340,7 @@
             due: by.map_or(deadline, |by| by.min(deadline)),
             head: envelope.head(),
             body: [trace.as_bytes(), text].concat().into(),
-            keep_id: now + mail.config.remember,
+            keep_id_until: now + mail.config.remember,
         })
     }
 }
--- a/src/net/platform/batch.rs
+++ b/src/net/platform/batch.rs
@@ -290,7 +290,7 @@
             tenant: 0,
             dest: 1,
             due: Micros(0),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
             head: "k".to_owned(),
             body: vec![b'x'; body].into(),
         };
--- a/src/net/platform/notices.rs
+++ b/src/net/platform/notices.rs
@@ -3,7 +3,7 @@
 use super::http::{self, Body};
 use super::Platform;
 use crate::api::Micros;
-use crate::core::{Notice, Report, Verdict};
+use crate::core::{FinalOutcome, Notice, Report};
 use crate::net::conn;
 use crossbeam_channel::Receiver;
 use std::io::Write;
@@ -62,8 +62,8 @@
 pub fn line(notice: &Notice) -> String {
     let id = serde_json::Value::from(notice.req.id.as_str());
     match notice.verdict {
-        Verdict::GivenUp => format!("{{\"message\":{id},\"outcome\":\"given_up\"}}\n"),
-        Verdict::HandedBack(wait) => {
+        FinalOutcome::GivenUp => format!("{{\"message\":{id},\"outcome\":\"given_up\"}}\n"),
+        FinalOutcome::HandedBack(wait) => {
             let ms = wait.0.div_ceil(1000);
             format!("{{\"message\":{id},\"outcome\":\"handed_back\",\"retry_in_ms\":{ms}}}\n")
         }
--- a/src/net/platform/session.rs
+++ b/src/net/platform/session.rs
@@ -240,6 +240,6 @@
         due: platform.courier.clock.now() + Micros(ms * 1000) - skew.min(Micros(ms * 250)),
         head: key,
         body: body.into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     })
 }
--- a/src/register/kept_copy.rs
+++ b/src/register/kept_copy.rs
@@ -1,15 +1,16 @@
-//! The kept copy: the last list of discovery, in a [`Sealed`] file in the state folder. [`WriteSchedule`] decides when
+//! The kept copy: the last list of discovery, in a [`ChecksummedFile`] in the state folder. [`WriteSchedule`] decides when
 //! to write, without I/O or clock; [`KeptCopyWriter`] writes.
 
 use super::list::{DiscoveryList, Instance, KindAndZoneNames};
 use super::EndpointRecord;
 use crate::api::Micros;
-use crate::store::sealed::Sealed;
+use crate::store::checksummed_file::ChecksummedFile;
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::path::{Path, PathBuf};
 
-const COPY_FILE: Sealed = Sealed { name: "register.copy", magic: "indigohold-register", version: 1 };
+const COPY_FILE: ChecksummedFile =
+    ChecksummedFile { name: "register.copy", magic: "indigohold-register", version: 1 };
 /// Files take up whole blocks of the disk.
 const DISK_BLOCK_BYTES: u64 = 512;
 /// The present copy, the one before and the one that is being written.
@@ -42,7 +43,7 @@
 /// The content of the file for a list.
 pub fn encode(kept: &KeptList) -> Vec<u8> {
     // Serialization cannot fail: the list holds only numbers and strings.
-    COPY_FILE.seal(&serde_json::to_vec(kept).unwrap_or_default())
+    COPY_FILE.encode(&serde_json::to_vec(kept).unwrap_or_default())
 }
 
 fn read_body(body: &[u8]) -> Result<KeptList, String> {
@@ -51,7 +52,7 @@
 
 /// Decodes the content of the file; the error is the reason why it cannot be used.
 pub fn decode(bytes: &[u8]) -> Result<KeptList, String> {
-    COPY_FILE.open(bytes).and_then(read_body)
+    COPY_FILE.decode(bytes).and_then(read_body)
 }
 
 /// Reads the copy in a folder, or the one before if that is damaged. Also returns a log line for each file that was
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,53 +1,57 @@
-//! The journal: what the courier has taken on outlasts its process. Every record is appended with one write
-//! before the step that it covers (a 202, the first byte of a fetch); a process that is killed loses nothing that
-//! was written, so nothing is synced. A machine that is lost loses the folder, and the platform knows that.
+//! The journal: a write-ahead log of the messages that the courier has accepted, so that they survive its process. Every
+//! record is appended with one write before the step that it covers (the 202 reply, the first byte of a fetch). Data that
+//! was written survives a kill of the process, so nothing is synced to disk. If the machine is lost, so is the folder; the
+//! platform takes that into account.
 //!
 //! The folder holds small segments, `00000001.log` and up. A record is `length u32, crc32 u32, body`; a body is
-//! `kind u8, message u64` and what the kind needs, little-endian. Segments go from the oldest on, once they hold
-//! no live message; the live ones of a segment that stays too long are written again at the tail. A later record
-//! of a message takes the place of all before it, so a stop between the two steps does no harm.
+//! `kind u8, message u64` and the fields of that kind, little-endian. Segments without live messages are removed, the
+//! oldest first. If a segment stays too long, its live messages are written again at the tail. A later accept record of a
+//! message replaces all its earlier records, so a kill between the copy and the removal does no harm.
 
 mod appending;
-mod ended;
-pub mod home;
-mod ids;
+pub mod checksummed_file;
+mod ended_ids;
+mod history_backlog;
 pub mod owner;
-mod reading;
 mod records;
+mod recovery;
 pub mod salvage;
-pub mod sealed;
 mod segments;
+pub mod storage;
 
 use crate::api::Micros;
 use appending::Tail;
-use ended::Backlog;
-pub use ended::{Ended, How};
-use home::{Folder, Home};
-use ids::{read_ids, IDS};
-use reading::{doubt, keep_aside, read_segments, Reading};
-use records::{apply, begin_body, body, encode_take, put_record, put_verdict, text, END, OUTCOME, VERDICT};
-use salvage::HEAD;
-use segments::{Segment, BLOCK, SEGMENT_PARTS};
+use ended_ids::{read_ids, IDS_FILE};
+use history_backlog::Backlog;
+pub use history_backlog::{EndKind, EndedMessage};
+use records::{
+    apply, attempt_start_body, encode_accept, put_final_outcome, put_record, put_text, record_body, END,
+    FINAL_OUTCOME, OUTCOME,
+};
+use recovery::{mark_uncertain, read_segments, save_damaged_bytes, Recovery};
+use salvage::RECORD_HEADER_BYTES;
+use segments::{Segment, BLOCK_BYTES, SEGMENTS_IN_BUDGET};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io;
 use std::path::Path;
 use std::sync::Arc;
+use storage::{DirStorage, Storage};
 
-/// How a message ended, where its client must be told.
+/// How a message ended, where its client must be notified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
-    /// Failed; nothing is promised.
+pub enum FinalOutcome {
+    /// It failed; the message may have taken effect or not.
     GivenUp,
-    /// It did no harm and may be handed in again, best after so long.
+    /// It took no effect, and the client may submit it again, preferably after this delay.
     HandedBack(Micros),
 }
 
-/// A req as its front took it on. The front alone knows what `head` and `body` mean.
+/// A req as its front accepted it. Only the front interprets `head` and `body`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Req {
-    /// The client's name for it.
+    /// The client's id for it.
     pub id: String,
-    /// Which front it belongs to.
+    /// Number of the front that accepted it.
     pub front: u8,
     /// Number of its destination.
     pub dest: u16,
@@ -57,296 +61,305 @@
     pub tenant: u16,
     /// Absolute deadline.
     pub due: Micros,
-    /// What the front needs beside the body: an idempotency key, an envelope.
+    /// What the front needs besides the body: an idempotency key, an envelope.
     pub head: String,
     /// Passed on unchanged.
     pub body: Arc<[u8]>,
     /// Until when `id` is recognised after a message that may have taken effect has ended; 0: not at all.
-    pub keep_id: Micros,
+    pub keep_id_until: Micros,
 }
 
-/// How a process comes to a folder that another one has written.
+/// How a process takes over a folder that another process has written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Succession {
-    /// The other one is gone, and nobody will hear how its calls ended.
+pub enum StartMode {
+    /// The other process is gone, and the results of its calls in flight are lost.
     Restart,
-    /// The other one carries the calls that it has out to their ends, and tells how they end.
-    HandOver,
+    /// The other process completes its calls in flight and reports their results.
+    Handover,
 }
 
-impl Succession {
+impl StartMode {
     fn to_byte(self) -> u8 {
-        u8::from(self == Succession::HandOver)
+        u8::from(self == StartMode::Handover)
     }
 
-    fn from_byte(byte: u8) -> Succession {
+    fn from_byte(byte: u8) -> StartMode {
         match byte {
-            0 => Succession::Restart,
-            _ => Succession::HandOver,
+            0 => StartMode::Restart,
+            _ => StartMode::Handover,
         }
     }
 }
 
-/// A message in the journal that has not ended.
+/// The journal's state of a message that has not ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Owed {
+pub struct MessageState {
     /// The req itself.
     pub req: Arc<Req>,
-    /// Fetches begun.
-    pub tries: u32,
-    /// The first fetch that may have run: when it began and at which backend.
-    pub risk: Option<(Micros, String)>,
-    /// A call that is out now, in this process or in the one that handed over to it.
-    pub open: Option<(Micros, String)>,
-    /// Decided already; only the notice is owed.
-    pub verdict: Option<Verdict>,
-    /// What a backend last said of it, for whoever is told its end.
-    pub said: String,
+    /// Number of attempts started.
+    pub attempts: u32,
+    /// The first attempt that may have taken effect: when it started and at which backend.
+    pub first_uncertain: Option<(Micros, String)>,
+    /// The attempt in flight, in this process or in the one that handed over to it.
+    pub open_attempt: Option<(Micros, String)>,
+    /// The decided final outcome; only the notice to the client is pending.
+    pub final_outcome: Option<FinalOutcome>,
+    /// The last reply of a backend, for the notice of the message's end.
+    pub last_reply: String,
 }
 
-/// Something that was not as it had been written.
+/// Stored data that differs from what was written.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Damage {
-    /// The segment.
+    /// Number of the segment.
     pub segment: u64,
-    /// Bytes of it that can't be read; none where it is known only that the segment is not what it was.
+    /// The unreadable bytes of the segment; empty if it is known only that the segment has changed.
     pub bytes: std::ops::Range<usize>,
-    /// What is known of it, in words.
-    pub what: &'static str,
+    /// What was found, as text for the log.
+    pub description: &'static str,
 }
 
 /// The journal of one courier.
 pub struct Journal {
-    home: Box<dyn Home>,
+    storage: Box<dyn Storage>,
+    /// Disk space in bytes that the journal may use.
     budget: u64,
     segment_bytes: u64,
     segments: Vec<Segment>,
-    owed: BTreeMap<u64, Owed>,
+    pending: BTreeMap<u64, MessageState>,
     /// Ids of ended messages that are still recognised, and until when.
-    ids: BTreeMap<String, Micros>,
+    ended_ids: BTreeMap<String, Micros>,
     ids_bytes: u64,
-    /// Their file lacks some, or ends in half a line.
+    /// The file of ids lacks some, or ends with an incomplete line.
     ids_stale: bool,
-    /// Records that are written together once [`Journal::written`] is called; `None`: each is written at once.
-    gathered: Option<Vec<u8>>,
-    /// Whole records that could not be written, the oldest first; no entry is longer than a segment.
+    /// Records that [`Journal::write_batch`] writes together; `None`: each record is written at once.
+    batch: Option<Vec<u8>>,
+    /// Complete records that could not be written, the oldest first; no entry is longer than a segment.
     unwritten: VecDeque<Vec<u8>>,
     tail: Tail,
-    /// Why the last write failed; `None`: it did not.
-    failure: Option<String>,
+    /// The error of the last write; `None`: it succeeded.
+    last_failure: Option<String>,
     incarnation: u64,
-    succession: Succession,
+    start_mode: StartMode,
     damages: Vec<Damage>,
-    doubted: usize,
-    aside: u64,
-    /// Ended, and not put away.
+    uncertain_count: usize,
+    /// Disk space of the saved copies of damaged bytes.
+    damaged_copies_bytes: u64,
+    /// Ended messages that the history has not stored yet.
     backlog: Backlog,
 }
 
 impl Journal {
-    /// Opens the folder and reads what is owed, see [`Journal::at`].
-    pub fn open(dir: &Path, disk: u64, now: Micros) -> io::Result<Journal> {
-        Journal::open_as(dir, disk, now, 0, Succession::Restart)
+    /// Opens the folder after a restart and reads the pending messages, see [`Journal::open_storage`].
+    pub fn open(dir: &Path, budget: u64, now: Micros) -> io::Result<Journal> {
+        Journal::open_as(dir, budget, now, 0, StartMode::Restart)
     }
 
-    /// The same for an owner of this number; 0: one more than any that has written here.
+    /// Opens the folder for an owner with this incarnation number; 0: one more than any that has written here.
     pub fn open_as(
-        dir: &Path, disk: u64, now: Micros, incarnation: u64, succession: Succession,
+        dir: &Path, budget: u64, now: Micros, incarnation: u64, start_mode: StartMode,
     ) -> io::Result<Journal> {
-        Journal::read(Box::new(Folder::new(dir)?), disk, now, incarnation, succession)
+        Journal::read(Box::new(DirStorage::new(dir)?), budget, now, incarnation, start_mode)
     }
 
-    /// Reads what is owed. A last record that is not whole was being written when the process died, so what it covers had
-    /// not been promised. Anything else that is not as it was written is a [`Damage`]: what can be read behind it is read,
-    /// the bytes are kept aside, and each message that was taken before it, and may have had a record there, counts as one
-    /// that may have run, nobody knows when or where: it is not sent again unless that does no harm.
-    pub fn at(home: Box<dyn Home>, disk: u64, now: Micros) -> io::Result<Journal> {
-        Journal::read(home, disk, now, 0, Succession::Restart)
+    /// Reads the pending messages from `storage`. An incomplete last record was being written when the process died, so the
+    /// step that it covers had not been acknowledged. Any other difference from what was written is a [`Damage`]: the records
+    /// after it are still read and the damaged bytes are saved. Each message that was accepted before the damage, and so may
+    /// have had a record there, counts as one that may have run at an unknown time and backend: it is sent again only if a
+    /// repeat does no harm.
+    pub fn open_storage(storage: Box<dyn Storage>, budget: u64, now: Micros) -> io::Result<Journal> {
+        Journal::read(storage, budget, now, 0, StartMode::Restart)
     }
 
     fn read(
-        mut home: Box<dyn Home>, disk: u64, now: Micros, incarnation: u64, succession: Succession,
+        mut storage: Box<dyn Storage>, budget: u64, now: Micros, incarnation: u64, start_mode: StartMode,
     ) -> io::Result<Journal> {
-        let ids = read_ids(home.read(IDS)?.unwrap_or_default(), now);
-        let budget = disk.max(64 * 1024);
-        let mut reading = Reading::default();
-        let mut segments = read_segments(&*home, &mut reading)?;
-        reading.succeed(succession);
-        // What can't be kept aside now is lost with its segment; nothing that is owed rests on it.
-        let aside = keep_aside(&mut *home, &reading.damages, &segments).unwrap_or(0);
-        let Reading { mut owed, taken_at, damages, incarnation: before, found } = reading;
-        let doubted = doubt(&mut owed, &taken_at, &damages);
-        // A message lives in the last segment that holds a take of it.
+        let ended_ids = read_ids(storage.read(IDS_FILE)?.unwrap_or_default(), now);
+        let budget = budget.max(64 * 1024);
+        let mut recovery = Recovery::default();
+        let mut segments = read_segments(&*storage, &mut recovery)?;
+        recovery.apply_start_mode(start_mode);
+        // Damaged bytes that can't be saved now are lost with their segment; no pending message depends on them.
+        let damaged_copies_bytes =
+            save_damaged_bytes(&mut *storage, &recovery.damages, &segments).unwrap_or(0);
+        let Recovery { mut pending, accepted_at, damages, incarnation: previous, ended } = recovery;
+        let uncertain_count = mark_uncertain(&mut pending, &accepted_at, &damages);
+        // A message is live in the last segment that holds an accept record of it.
         let mut seen = BTreeSet::new();
-        let waiting: BTreeSet<u64> = found.ends.values().map(|end| end.msg).collect();
+        let waiting: BTreeSet<u64> = ended.by_number.values().map(|end| end.msg).collect();
         for segment in segments.iter_mut().rev() {
-            segment.live.retain(|m| (owed.contains_key(m) || waiting.contains(m)) && seen.insert(*m));
+            segment.live.retain(|m| (pending.contains_key(m) || waiting.contains(m)) && seen.insert(*m));
         }
         let mut journal = Journal {
-            home,
+            storage,
             budget,
-            segment_bytes: (budget / SEGMENT_PARTS).max(16 * BLOCK),
+            segment_bytes: (budget / SEGMENTS_IN_BUDGET).max(16 * BLOCK_BYTES),
             segments,
-            owed,
-            ids,
+            pending,
+            ended_ids,
             ids_bytes: 0,
             ids_stale: true,
-            gathered: None,
+            batch: None,
             unwritten: VecDeque::new(),
             tail: Tail::Missing,
-            failure: None,
-            incarnation: incarnation.max(before + 1),
-            succession,
+            last_failure: None,
+            incarnation: incarnation.max(previous + 1),
+            start_mode,
             damages,
-            doubted,
-            aside,
-            backlog: Backlog::new(budget, found),
+            uncertain_count,
+            damaged_copies_bytes,
+            backlog: Backlog::new(budget, ended),
         };
-        // Danger: a folder that can't be written just now still says what is owed; what is missing is written later.
-        let _ = journal.catch_up();
-        journal.drop_dead();
+        // The pending messages are served even if the folder can't be written now; a later repair writes what is missing.
+        let _ = journal.repair();
+        journal.remove_dead_segments();
         Ok(journal)
     }
 
-    /// The number of this owner.
+    /// The incarnation number of this owner.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// What was not as it had been written, and how many messages are in doubt for it.
+    /// The damages found, and how many messages count as uncertain because of them.
     pub fn damages(&self) -> (&[Damage], usize) {
-        (&self.damages, self.doubted)
+        (&self.damages, self.uncertain_count)
     }
 
-    /// What is owed, by message.
-    pub fn owed(&self) -> &BTreeMap<u64, Owed> {
-        &self.owed
+    /// The messages that have not ended, by number.
+    pub fn pending(&self) -> &BTreeMap<u64, MessageState> {
+        &self.pending
     }
 
-    /// Whether a message of this id has ended and may have taken effect.
-    pub fn knows(&self, id: &str, now: Micros) -> bool {
-        self.ids.get(id).is_some_and(|until| *until > now)
+    /// Whether a message with this id has ended and may have taken effect.
+    pub fn knows_id(&self, id: &str, now: Micros) -> bool {
+        self.ended_ids.get(id).is_some_and(|until| *until > now)
     }
 
-    /// Takes reqs on, all by one write; says how many of them, from the first on, there was room for. The others must be
-    /// refused. An error says that none could be written.
-    pub fn take(&mut self, reqs: &[(u64, Arc<Req>)]) -> io::Result<usize> {
-        let (mut records, mut taken, mut written) = (Vec::new(), 0, 0);
+    /// Accepts reqs, if possible with one write; returns how many of them, from the first on, had room. The caller must
+    /// refuse the others. An error means that none could be written.
+    pub fn accept(&mut self, reqs: &[(u64, Arc<Req>)]) -> io::Result<usize> {
+        let (mut records, mut accepted, mut written) = (Vec::new(), 0, 0);
         for (msg, req) in reqs {
-            let owed = Owed {
+            let state = MessageState {
                 req: req.clone(),
-                tries: 0,
-                risk: None,
-                open: None,
-                verdict: None,
-                said: String::new(),
+                attempts: 0,
+                first_uncertain: None,
+                open_attempt: None,
+                final_outcome: None,
+                last_reply: String::new(),
             };
-            let body = encode_take(*msg, &owed);
-            match self.make_room((records.len() + HEAD + body.len()) as u64) {
+            let body = encode_accept(*msg, &state);
+            match self.make_room((records.len() + RECORD_HEADER_BYTES + body.len()) as u64) {
                 Ok(true) => {}
-                // What waits in `records` may still be written.
+                // The records gathered so far may still be written.
                 Ok(false) | Err(_) => break,
             }
-            // No segment gets longer than it should.
-            if !records.is_empty() && (records.len() + HEAD + body.len()) as u64 > self.segment_bytes {
-                match self.write_takes(&mut records, &reqs[written..taken]) {
-                    Ok(()) => written = taken,
+            // A write that exceeds a segment's length is split.
+            if !records.is_empty()
+                && (records.len() + RECORD_HEADER_BYTES + body.len()) as u64 > self.segment_bytes
+            {
+                match self.write_accepts(&mut records, &reqs[written..accepted]) {
+                    Ok(()) => written = accepted,
                     Err(e) => return if written > 0 { Ok(written) } else { Err(e) },
                 }
             }
             put_record(&mut records, &body);
-            self.owed.insert(*msg, owed);
-            taken += 1;
+            self.pending.insert(*msg, state);
+            accepted += 1;
         }
-        match self.write_takes(&mut records, &reqs[written..taken]) {
-            Ok(()) => Ok(taken),
+        match self.write_accepts(&mut records, &reqs[written..accepted]) {
+            Ok(()) => Ok(accepted),
             Err(_) if written > 0 => Ok(written),
             Err(e) => Err(e),
         }
     }
 
-    fn write_takes(&mut self, records: &mut Vec<u8>, reqs: &[(u64, Arc<Req>)]) -> io::Result<()> {
+    fn write_accepts(&mut self, records: &mut Vec<u8>, reqs: &[(u64, Arc<Req>)]) -> io::Result<()> {
         if reqs.is_empty() {
             return Ok(());
         }
         self.write_now(records).inspect_err(|_| {
-            reqs.iter().for_each(|(msg, _)| drop(self.owed.remove(msg)));
+            reqs.iter().for_each(|(msg, _)| drop(self.pending.remove(msg)));
         })?;
         records.clear();
-        reqs.iter().for_each(|(msg, _)| self.lives_here(*msg));
+        reqs.iter().for_each(|(msg, _)| self.set_live_in_tail(*msg));
         Ok(())
     }
 
-    /// An attempt is about to begin. After an error it must not, and the journal is as it was.
-    pub fn begin(&mut self, msg: u64, now: Micros, endpoint: &str) -> io::Result<()> {
-        self.begin_all(now, &[(msg, endpoint)])
+    /// Records that an attempt is about to start. After an error it must not start, and the journal is unchanged.
+    pub fn start_attempt(&mut self, msg: u64, now: Micros, endpoint: &str) -> io::Result<()> {
+        self.start_attempts(now, &[(msg, endpoint)])
     }
 
-    /// The same for attempts that share a call, by one write: all of them may begin, or none.
-    pub fn begin_all(&mut self, now: Micros, attempts: &[(u64, &str)]) -> io::Result<()> {
-        let owed = attempts.iter().filter(|(msg, _)| self.owed.contains_key(msg));
-        let bodies: Vec<Vec<u8>> = owed.map(|(msg, endpoint)| begin_body(*msg, now, endpoint)).collect();
+    /// As [`Journal::start_attempt`], for attempts that share a call. They are recorded by one write: all may start, or none.
+    pub fn start_attempts(&mut self, now: Micros, attempts: &[(u64, &str)]) -> io::Result<()> {
+        let pending = attempts.iter().filter(|(msg, _)| self.pending.contains_key(msg));
+        let bodies: Vec<Vec<u8>> =
+            pending.map(|(msg, endpoint)| attempt_start_body(*msg, now, endpoint)).collect();
         let mut records = Vec::new();
         bodies.iter().for_each(|body| put_record(&mut records, body));
         if !records.is_empty() {
             self.write_now(&records)?;
         }
         for body in &bodies {
-            apply(body, &mut self.owed, &mut BTreeSet::new());
+            apply(body, &mut self.pending, &mut BTreeSet::new());
         }
         Ok(())
     }
 
-    /// A fetch is over; `may_have_run` unless its outcome proves that it never did. `said` is the backend's word.
-    pub fn outcome(&mut self, msg: u64, may_have_run: bool, said: &str) {
-        let mut body = body(OUTCOME, msg);
+    /// Records that a fetch is finished. `may_have_run` is false only if its outcome proves that it had no effect; `reply` is
+    /// the text of the backend's reply.
+    pub fn record_outcome(&mut self, msg: u64, may_have_run: bool, reply: &str) {
+        let mut body = record_body(OUTCOME, msg);
         body.push(u8::from(may_have_run));
-        text(&mut body, said);
+        put_text(&mut body, reply);
         self.change(msg, &body);
     }
 
-    /// The message's end is decided and its client must be told.
-    pub fn verdict(&mut self, msg: u64, verdict: Verdict) {
-        let mut body = body(VERDICT, msg);
-        put_verdict(&mut body, Some(verdict));
+    /// Records the message's final outcome, of which its client must be notified.
+    pub fn record_final_outcome(&mut self, msg: u64, outcome: FinalOutcome) {
+        let mut body = record_body(FINAL_OUTCOME, msg);
+        put_final_outcome(&mut body, Some(outcome));
         self.change(msg, &body);
     }
 
-    /// Nothing more is owed. What may have taken effect is still recognised for as long as it asked for.
-    /// Danger: a client whose answer was lost hands the same message in again, long after it was delivered.
+    /// Ends a message. If it may have taken effect, its id is recognised until its `keep_id_until`, because a client that
+    /// did not receive the answer submits the same message again long after it was delivered.
     pub fn end(&mut self, msg: u64, now: Micros) {
-        self.recognise(msg, now);
-        self.change(msg, &body(END, msg));
-        self.drop_dead();
+        self.remember_id(msg, now);
+        self.change(msg, &record_body(END, msg));
+        self.remove_dead_segments();
     }
 
-    /// A message that was just taken is not taken on after all. After an error it still is.
+    /// Revokes the acceptance of a message that was just accepted. After an error it is still pending.
     pub fn withdraw(&mut self, msg: u64) -> io::Result<()> {
-        if self.owed.contains_key(&msg) {
-            self.append_now(&body(END, msg))?;
-            self.apply_change(msg, &body(END, msg));
-            self.drop_dead();
+        if self.pending.contains_key(&msg) {
+            self.append_now(&record_body(END, msg))?;
+            self.apply_change(msg, &record_body(END, msg));
+            self.remove_dead_segments();
         }
         Ok(())
     }
 
     fn change(&mut self, msg: u64, body: &[u8]) {
-        if self.owed.contains_key(&msg) {
+        if self.pending.contains_key(&msg) {
             self.apply_change(msg, body);
             self.append(body);
         }
     }
 
     fn apply_change(&mut self, msg: u64, body: &[u8]) {
-        apply(body, &mut self.owed, &mut BTreeSet::new());
-        if !self.owed.contains_key(&msg) {
+        apply(body, &mut self.pending, &mut BTreeSet::new());
+        if !self.pending.contains_key(&msg) {
             self.segments.iter_mut().for_each(|s| {
                 s.live.remove(&msg);
             });
         }
     }
 
-    fn lives_here(&mut self, msg: u64) {
+    /// Marks the message as live in the last segment and in no other.
+    fn set_live_in_tail(&mut self, msg: u64) {
         for segment in &mut self.segments {
             segment.live.remove(&msg);
         }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -1,17 +1,22 @@
-//! The bodies of records: what is written of a message, and what a record does to all that is owed.
+//! Record bodies: their encoding, and how a record changes the state of the pending messages.
 
-use super::{How, Owed, Req, Verdict};
+use super::{EndKind, FinalOutcome, MessageState, Req};
 use crate::api::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-pub(super) const TAKE: u8 = 1;
-pub(super) const BEGIN: u8 = 2;
+/// The full state of a pending message.
+pub(super) const ACCEPT: u8 = 1;
+/// An attempt starts.
+pub(super) const ATTEMPT_START: u8 = 2;
+/// An attempt is finished.
 pub(super) const OUTCOME: u8 = 3;
-pub(super) const VERDICT: u8 = 4;
+/// The message's final outcome is decided, and its client must be notified.
+pub(super) const FINAL_OUTCOME: u8 = 4;
+/// The message has ended.
 pub(super) const END: u8 = 5;
-/// Older programs pass it by: it is of no message.
-pub(super) const START: u8 = 6;
+/// The first record of a segment. Older versions skip it, because it belongs to no message.
+pub(super) const SEGMENT_START: u8 = 6;
 
 pub(super) fn put_record(out: &mut Vec<u8>, body: &[u8]) {
     out.extend((body.len() as u32).to_le_bytes());
@@ -19,87 +24,91 @@
     out.extend(body);
 }
 
-pub(super) fn body(kind: u8, msg: u64) -> Vec<u8> {
+/// The first fields of a body: the kind and the message.
+pub(super) fn record_body(kind: u8, msg: u64) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(msg.to_le_bytes());
     body
 }
 
-fn bytes(body: &mut Vec<u8>, bytes: &[u8]) {
+fn put_bytes(body: &mut Vec<u8>, bytes: &[u8]) {
     body.extend((bytes.len() as u32).to_le_bytes());
     body.extend(bytes);
 }
 
-pub(super) fn text(body: &mut Vec<u8>, text: &str) {
-    bytes(body, text.as_bytes());
+pub(super) fn put_text(body: &mut Vec<u8>, text: &str) {
+    put_bytes(body, text.as_bytes());
 }
 
 fn put_attempt(body: &mut Vec<u8>, attempt: &Option<(Micros, String)>) {
     body.push(u8::from(attempt.is_some()));
     if let Some((at, backend)) = attempt {
         body.extend(at.0.to_le_bytes());
-        text(body, backend);
+        put_text(body, backend);
     }
 }
 
-/// An attempt begins at this endpoint.
-pub(super) fn begin_body(msg: u64, now: Micros, endpoint: &str) -> Vec<u8> {
-    let mut body = body(BEGIN, msg);
+/// The record of an attempt that starts at this endpoint.
+pub(super) fn attempt_start_body(msg: u64, now: Micros, endpoint: &str) -> Vec<u8> {
+    let mut body = record_body(ATTEMPT_START, msg);
     body.extend(now.0.to_le_bytes());
-    text(&mut body, endpoint);
+    put_text(&mut body, endpoint);
     body
 }
 
-pub(super) fn put_verdict(body: &mut Vec<u8>, verdict: Option<Verdict>) {
-    let (kind, wait) = match verdict {
+pub(super) fn put_final_outcome(body: &mut Vec<u8>, outcome: Option<FinalOutcome>) {
+    let (kind, wait) = match outcome {
         None => (0, Micros(0)),
-        Some(Verdict::GivenUp) => (1, Micros(0)),
-        Some(Verdict::HandedBack(wait)) => (2, wait),
+        Some(FinalOutcome::GivenUp) => (1, Micros(0)),
+        Some(FinalOutcome::HandedBack(wait)) => (2, wait),
     };
     body.push(kind);
     body.extend(wait.0.to_le_bytes());
 }
 
-pub(super) fn encode_take(msg: u64, owed: &Owed) -> Vec<u8> {
-    let req = &owed.req;
-    let mut out = body(TAKE, msg);
-    text(&mut out, &req.id);
+pub(super) fn encode_accept(msg: u64, state: &MessageState) -> Vec<u8> {
+    let req = &state.req;
+    let mut out = record_body(ACCEPT, msg);
+    put_text(&mut out, &req.id);
     out.push(req.front);
     out.extend(req.dest.to_le_bytes());
     out.extend(req.class.to_le_bytes());
     out.extend(req.tenant.to_le_bytes());
     out.extend(req.due.0.to_le_bytes());
-    text(&mut out, &req.head);
-    bytes(&mut out, &req.body);
-    out.extend(req.keep_id.0.to_le_bytes());
-    out.extend(owed.tries.to_le_bytes());
-    put_attempt(&mut out, &owed.risk);
-    put_attempt(&mut out, &owed.open);
-    put_verdict(&mut out, owed.verdict);
-    text(&mut out, &owed.said);
+    put_text(&mut out, &req.head);
+    put_bytes(&mut out, &req.body);
+    out.extend(req.keep_id_until.0.to_le_bytes());
+    out.extend(state.attempts.to_le_bytes());
+    put_attempt(&mut out, &state.first_uncertain);
+    put_attempt(&mut out, &state.open_attempt);
+    put_final_outcome(&mut out, state.final_outcome);
+    put_text(&mut out, &state.last_reply);
     out
 }
 
-/// The end of one that is to be put away. Older programs take it for an end as any other.
-pub(super) fn end_kept(msg: u64, seq: u64, at: Micros, how: How, said: Option<&str>) -> Vec<u8> {
-    let mut out = body(END, msg);
+/// The end of a message that the history is to store. Older versions read it as an ordinary end.
+pub(super) fn encode_history_end(
+    msg: u64, seq: u64, at: Micros, how: EndKind, reply: Option<&str>,
+) -> Vec<u8> {
+    let mut out = record_body(END, msg);
     out.extend(seq.to_le_bytes());
     out.extend(at.0.to_le_bytes());
     out.push(match how {
-        How::Delivered => 1,
-        How::GivenUp => 2,
-        How::HandedBack => 3,
+        EndKind::Delivered => 1,
+        EndKind::GivenUp => 2,
+        EndKind::HandedBack => 3,
     });
-    out.push(u8::from(said.is_some()));
-    text(&mut out, said.unwrap_or_default());
+    out.push(u8::from(reply.is_some()));
+    put_text(&mut out, reply.unwrap_or_default());
     out
 }
 
+/// Decodes a body field by field; holds the rest.
 pub(super) struct Fields<'a>(pub &'a [u8]);
 
 impl<'a> Fields<'a> {
-    fn take(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (head, tail) = self.0.split_at_checked(n)?;
+    fn take(&mut self, length: usize) -> Option<&'a [u8]> {
+        let (head, tail) = self.0.split_at_checked(length)?;
         self.0 = tail;
         Some(head)
     }
@@ -116,8 +125,8 @@
         Some(u64::from_le_bytes(self.take(8)?.try_into().ok()?))
     }
     fn bytes(&mut self) -> Option<Vec<u8>> {
-        let n = self.u32()? as usize;
-        Some(self.take(n)?.to_vec())
+        let length = self.u32()? as usize;
+        Some(self.take(length)?.to_vec())
     }
     fn text(&mut self) -> Option<String> {
         String::from_utf8(self.bytes()?).ok()
@@ -128,27 +137,28 @@
             _ => Some((Micros(self.u64()?), self.text()?)),
         })
     }
-    fn verdict(&mut self) -> Option<Option<Verdict>> {
+    fn final_outcome(&mut self) -> Option<Option<FinalOutcome>> {
         let (kind, wait) = (self.u8()?, Micros(self.u64()?));
         Some(match kind {
             0 => None,
-            1 => Some(Verdict::GivenUp),
-            _ => Some(Verdict::HandedBack(wait)),
+            1 => Some(FinalOutcome::GivenUp),
+            _ => Some(FinalOutcome::HandedBack(wait)),
         })
     }
-    /// Behind the message of an [`END`]: its number, when, how, and the last word, if it is one that is to be put away.
-    pub fn end_kept(&mut self) -> Option<(u64, Micros, How, Option<String>)> {
+    /// The fields of an [`END`] after the message: its number, its time, how the message ended, and the last reply. `None` if
+    /// the message is not for the history.
+    pub fn history_end(&mut self) -> Option<(u64, Micros, EndKind, Option<String>)> {
         let (seq, at) = (self.u64()?, Micros(self.u64()?));
         let how = match self.u8()? {
-            1 => How::Delivered,
-            2 => How::GivenUp,
-            3 => How::HandedBack,
+            1 => EndKind::Delivered,
+            2 => EndKind::GivenUp,
+            3 => EndKind::HandedBack,
             _ => return None,
         };
-        let (there, said) = (self.u8()? != 0, self.text()?);
-        Some((seq, at, how, there.then_some(said)))
+        let (has_reply, reply) = (self.u8()? != 0, self.text()?);
+        Some((seq, at, how, has_reply.then_some(reply)))
     }
-    fn owed(&mut self) -> Option<Owed> {
+    fn message_state(&mut self) -> Option<MessageState> {
         let req = Req {
             id: self.text()?,
             front: self.u8()?,
@@ -158,50 +168,52 @@
             due: Micros(self.u64()?),
             head: self.text()?,
             body: self.bytes()?.into(),
-            keep_id: Micros(self.u64()?),
+            keep_id_until: Micros(self.u64()?),
         };
-        Some(Owed {
+        Some(MessageState {
             req: Arc::new(req),
-            tries: self.u32()?,
-            risk: self.attempt()?,
-            open: self.attempt()?,
-            verdict: self.verdict()?,
-            said: self.text()?,
+            attempts: self.u32()?,
+            first_uncertain: self.attempt()?,
+            open_attempt: self.attempt()?,
+            final_outcome: self.final_outcome()?,
+            last_reply: self.text()?,
         })
     }
 }
 
-impl Owed {
-    /// Nobody will hear how the call that is out ends, so it may have run.
-    pub(super) fn open_call_is_lost(&mut self) {
-        self.risk = self.risk.take().or(self.open.take());
+impl MessageState {
+    /// The result of the attempt in flight is lost, so it may have run.
+    pub(super) fn open_attempt_is_lost(&mut self) {
+        self.first_uncertain = self.first_uncertain.take().or(self.open_attempt.take());
     }
 }
 
-/// Applies one record. One that does not decode changes nothing.
-pub(super) fn apply(body: &[u8], owed: &mut BTreeMap<u64, Owed>, live: &mut BTreeSet<u64>) -> Option<()> {
+/// Applies one record. A record that does not decode changes nothing.
+pub(super) fn apply(
+    body: &[u8], pending: &mut BTreeMap<u64, MessageState>, live: &mut BTreeSet<u64>,
+) -> Option<()> {
     let mut fields = Fields(body);
     let (kind, msg) = (fields.u8()?, fields.u64()?);
-    if kind == TAKE {
-        owed.insert(msg, fields.owed()?);
+    if kind == ACCEPT {
+        pending.insert(msg, fields.message_state()?);
         live.insert(msg);
         return Some(());
     }
-    let held = owed.get_mut(&msg)?;
+    let state = pending.get_mut(&msg)?;
     match kind {
-        BEGIN => {
-            held.tries += 1;
-            held.open_call_is_lost();
-            held.open = Some((Micros(fields.u64()?), fields.text()?));
+        ATTEMPT_START => {
+            state.attempts += 1;
+            state.open_attempt_is_lost();
+            state.open_attempt = Some((Micros(fields.u64()?), fields.text()?));
         }
         OUTCOME => {
-            let (open, may_have_run) = (held.open.take(), fields.u8()? != 0);
-            held.risk = held.risk.take().or(open.filter(|_| may_have_run));
-            held.said = fields.text()?;
+            let (open, may_have_run) = (state.open_attempt.take(), fields.u8()? != 0);
+            state.first_uncertain = state.first_uncertain.take().or(open.filter(|_| may_have_run));
+            state.last_reply = fields.text()?;
         }
-        VERDICT => held.verdict = fields.verdict()?,
+        FINAL_OUTCOME => state.final_outcome = fields.final_outcome()?,
         END => {
-            owed.remove(&msg);
+            pending.remove(&msg);
         }
         _ => {}
     }
--- a/src/store/salvage.rs
+++ b/src/store/salvage.rs
@@ -1,88 +1,96 @@
-//! What can be read of a segment that is not as it was written, without I/O. Records are `length u32, crc32 u32, body`; where one
-//! is damaged the next whole one is found again, by its predecessor's length if that still leads to one, else by looking at
-//! each byte. Danger: a body may hold what looks like a record. Where the length leads on it is never looked into; it is only
-//! if the length itself is damaged, and then a chain of records must lead from there to the end of the segment.
+//! Finds the readable records of a segment that may be damaged, without I/O. Records are `length u32, crc32 u32, body`. After
+//! a damaged record the next intact one is found by the damaged record's length, if that leads to an intact record, otherwise
+//! by trying every offset.
+//!
+//! A body may contain bytes that look like a record. While the length leads to an intact record the body is never searched.
+//! It is searched only if the length itself is damaged, and then a chain of records must lead from the offset to the end of
+//! the segment.
 
 use std::ops::Range;
 
-/// Length of a record's head, and the longest body that is believed.
-pub const HEAD: usize = 8;
-const BODY_MOST: usize = 1 << 26;
-/// The shortest: a kind and a message. A hole full of zeros would else be read as records without a body.
-const BODY_LEAST: usize = 9;
-/// Kinds of record, from 1.
-const KINDS: u8 = 6;
+/// Length of a record's header: its length and its checksum.
+pub const RECORD_HEADER_BYTES: usize = 8;
+/// A longer length counts as damaged.
+const MAX_BODY_BYTES: usize = 1 << 26;
+/// The shortest body holds a kind and a message. Without this limit a range of zeros would be read as records with an empty
+/// body.
+const MIN_BODY_BYTES: usize = 9;
+/// Record kinds are numbered from 1 to this.
+const MAX_KIND: u8 = 6;
 
 /// A part of a segment.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Piece {
-    /// The body of a whole record.
+pub enum SegmentPart {
+    /// The body of an intact record.
     Record(Range<usize>),
-    /// Bytes that can't be read, with whole records behind them, or complete by their length and wrong all the same.
+    /// Unreadable bytes that are followed by intact records, or that are complete by their length but fail the checksum.
     Damage(Range<usize>),
-    /// The last record was not written to its end: its process died meanwhile, and what it covers was not promised.
+    /// An incomplete last record. The process died while writing it, so the step that it covers was not acknowledged.
     Torn(Range<usize>),
 }
 
-/// The body of the whole record that begins there, and where it ends.
+/// The body of the intact record that begins at this offset, and the record's end.
 pub fn record_at(bytes: &[u8], at: usize) -> Option<(Range<usize>, usize)> {
-    let (body, end) = framed_at(bytes, at)?;
+    let (body, end) = frame_at(bytes, at)?;
     let sum = u32::from_le_bytes(bytes.get(at + 4..at + 8)?.try_into().ok()?);
     (crc32fast::hash(&bytes[body.clone()]) == sum).then_some((body, end))
 }
 
-/// What the length there says, if that lies within the segment.
-fn framed_at(bytes: &[u8], at: usize) -> Option<(Range<usize>, usize)> {
+/// Body and end of the record at this offset by its length field alone, if that is valid and within the segment.
+fn frame_at(bytes: &[u8], at: usize) -> Option<(Range<usize>, usize)> {
     let length = u32::from_le_bytes(bytes.get(at..at + 4)?.try_into().ok()?) as usize;
-    let end = at.checked_add(HEAD)?.checked_add(length)?;
-    ((BODY_LEAST..=BODY_MOST).contains(&length) && end <= bytes.len()).then_some((at + HEAD..end, end))
+    let end = at.checked_add(RECORD_HEADER_BYTES)?.checked_add(length)?;
+    ((MIN_BODY_BYTES..=MAX_BODY_BYTES).contains(&length) && end <= bytes.len())
+        .then_some((at + RECORD_HEADER_BYTES..end, end))
 }
 
-fn plausible(bytes: &[u8], at: usize) -> bool {
+/// Whether an intact record of a known kind begins at this offset.
+fn plausible_record_at(bytes: &[u8], at: usize) -> bool {
     let record = record_at(bytes, at);
-    record.is_some_and(|(body, _)| bytes.get(body.start).is_some_and(|kind| (1..=KINDS).contains(kind)))
+    record.is_some_and(|(body, _)| bytes.get(body.start).is_some_and(|kind| (1..=MAX_KIND).contains(kind)))
 }
 
-/// Whole records lead from there to the end, but for a last one that is torn: what is there of it looks like one.
-fn leads_to_the_end(bytes: &[u8], mut at: usize) -> bool {
+/// Whether intact records follow each other from this offset to the end of the segment. The last one may be incomplete if its
+/// existing part has a valid length and kind.
+fn chain_reaches_end(bytes: &[u8], mut at: usize) -> bool {
     while let Some((_, end)) = record_at(bytes, at) {
         at = end;
     }
     let rest = &bytes[at.min(bytes.len())..];
-    let length = rest.first_chunk().map_or(BODY_LEAST, |l| u32::from_le_bytes(*l) as usize);
-    let kind = rest.get(HEAD).copied().unwrap_or(1);
-    framed_at(bytes, at).is_none()
-        && (BODY_LEAST..=BODY_MOST).contains(&length)
-        && (1..=KINDS).contains(&kind)
+    let length = rest.first_chunk().map_or(MIN_BODY_BYTES, |l| u32::from_le_bytes(*l) as usize);
+    let kind = rest.get(RECORD_HEADER_BYTES).copied().unwrap_or(1);
+    frame_at(bytes, at).is_none()
+        && (MIN_BODY_BYTES..=MAX_BODY_BYTES).contains(&length)
+        && (1..=MAX_KIND).contains(&kind)
 }
 
-/// All parts of a segment, in order and without gaps.
-pub fn pieces(bytes: &[u8]) -> Vec<Piece> {
+/// Splits a segment into its parts, in order and without gaps.
+pub fn split_segment(bytes: &[u8]) -> Vec<SegmentPart> {
     let (mut out, mut at) = (Vec::new(), 0);
     while at < bytes.len() {
         if let Some((body, end)) = record_at(bytes, at) {
-            out.push(Piece::Record(body));
+            out.push(SegmentPart::Record(body));
             at = end;
             continue;
         }
-        let framed = framed_at(bytes, at).map(|(_, end)| end);
-        // The body or its checksum is damaged, the length is not.
-        let by_length = framed.filter(|end| plausible(bytes, *end));
+        let framed = frame_at(bytes, at).map(|(_, end)| end);
+        // If an intact record follows, only the body or its checksum is damaged, not the length.
+        let by_length = framed.filter(|end| plausible_record_at(bytes, *end));
         let found = by_length.or_else(|| {
-            (at + 1..bytes.len()).find(|at| plausible(bytes, *at) && leads_to_the_end(bytes, *at))
+            (at + 1..bytes.len()).find(|at| plausible_record_at(bytes, *at) && chain_reaches_end(bytes, *at))
         });
         match (found, framed) {
             (Some(next), _) => {
-                out.push(Piece::Damage(at..next));
+                out.push(SegmentPart::Damage(at..next));
                 at = next;
             }
-            // Complete by its length, and nothing readable behind it: it was written whole and has changed since.
+            // The record is complete by its length and nothing readable follows: it was fully written and has changed since.
             (None, Some(_)) => {
-                out.push(Piece::Damage(at..bytes.len()));
+                out.push(SegmentPart::Damage(at..bytes.len()));
                 at = bytes.len();
             }
             (None, None) => {
-                out.push(Piece::Torn(at..bytes.len()));
+                out.push(SegmentPart::Torn(at..bytes.len()));
                 at = bytes.len();
             }
         }
@@ -94,80 +102,85 @@
 mod tests {
     use super::*;
 
-    fn record(kind: u8, body: &[u8]) -> Vec<u8> {
-        let whole = [&[kind], body].concat();
-        [&(whole.len() as u32).to_le_bytes()[..], &crc32fast::hash(&whole).to_le_bytes(), &whole].concat()
+    fn record(kind: u8, fields: &[u8]) -> Vec<u8> {
+        let body = [&[kind], fields].concat();
+        [&(body.len() as u32).to_le_bytes()[..], &crc32fast::hash(&body).to_le_bytes(), &body].concat()
     }
 
+    /// A segment of five records, and the offsets at which they end.
     fn segment() -> (Vec<u8>, Vec<usize>) {
-        let all: Vec<Vec<u8>> = (1..=5).map(|n| record(n, &[n; 20])).collect();
-        let ends = all.iter().scan(0, |at, r| {
+        let records: Vec<Vec<u8>> = (1..=5).map(|n| record(n, &[n; 20])).collect();
+        let ends = records.iter().scan(0, |at, r| {
             *at += r.len();
             Some(*at)
         });
-        (all.concat(), ends.collect())
+        (records.concat(), ends.collect())
     }
 
-    fn whole(pieces: &[Piece]) -> usize {
-        pieces.iter().filter(|p| matches!(p, Piece::Record(_))).count()
+    fn intact_records(parts: &[SegmentPart]) -> usize {
+        parts.iter().filter(|p| matches!(p, SegmentPart::Record(_))).count()
     }
 
     #[test]
-    fn a_flipped_bit_costs_one_record_and_is_seen_wherever_it_is() {
+    fn a_flipped_bit_loses_one_record_and_is_detected() {
         let (good, ends) = segment();
-        assert_eq!(whole(&pieces(&good)), 5);
+        assert_eq!(intact_records(&split_segment(&good)), 5);
         for bit in 0..good.len() * 8 {
             let mut bytes = good.clone();
             bytes[bit / 8] ^= 1 << (bit % 8);
-            let found = pieces(&bytes);
-            assert_eq!(whole(&found), 4, "bit {bit}");
+            let found = split_segment(&bytes);
+            assert_eq!(intact_records(&found), 4, "bit {bit}");
             let last = bit / 8 >= ends[3];
-            let seen = found.iter().any(|p| matches!(p, Piece::Damage(_)));
-            // Only a length at the very end that leads out of the segment looks as if it had not been written whole.
+            let detected = found.iter().any(|p| matches!(p, SegmentPart::Damage(_)));
+            // Only the last record can look incomplete instead, if its damaged length points past the segment's end.
             assert!(
-                seen || last && found.iter().any(|p| matches!(p, Piece::Torn(_))),
+                detected || last && found.iter().any(|p| matches!(p, SegmentPart::Torn(_))),
                 "bit {bit}: {found:?}"
             );
         }
     }
 
     #[test]
-    fn a_cut_is_torn_and_never_damage() {
+    fn a_truncated_segment_is_torn_and_never_damaged() {
         let (good, _) = segment();
         for cut in 0..good.len() {
-            let found = pieces(&good[..cut]);
-            assert!(!found.iter().any(|p| matches!(p, Piece::Damage(_))), "{cut}: {found:?}");
+            let found = split_segment(&good[..cut]);
+            assert!(!found.iter().any(|p| matches!(p, SegmentPart::Damage(_))), "{cut}: {found:?}");
         }
     }
 
     #[test]
-    fn a_hole_costs_what_it_covers() {
+    fn a_zeroed_range_loses_only_the_records_it_overlaps() {
         let (good, ends) = segment();
         let mut bytes = good.clone();
         bytes[ends[0] + 3..ends[2] + 5].fill(0);
-        let found = pieces(&bytes);
-        assert_eq!(whole(&found), 2, "{found:?}");
-        assert!(found.contains(&Piece::Damage(ends[0]..ends[3])), "{found:?}");
+        let found = split_segment(&bytes);
+        assert_eq!(intact_records(&found), 2, "{found:?}");
+        assert!(found.contains(&SegmentPart::Damage(ends[0]..ends[3])), "{found:?}");
     }
 
-    /// A client's body that looks like a record is never taken for one while the record round it can be framed.
+    /// Guards against taking part of a client's body for a record, whether the enclosing record's body or its length is
+    /// damaged.
     #[test]
-    fn a_record_within_a_body_is_not_believed() {
+    fn a_record_inside_a_body_is_not_read_as_a_record() {
         let forged = record(5, &[9; 8]);
-        let round = record(1, &[&forged[..], b" and more"].concat());
-        let mut bytes = [record(1, b"the first"), round.clone(), record(2, b"the last")].concat();
+        let enclosing = record(1, &[&forged[..], b" and more"].concat());
+        let mut bytes = [record(1, b"the first"), enclosing.clone(), record(2, b"the last")].concat();
         let at = record(1, b"the first").len();
-        bytes[at + round.len() - 1] ^= 1; // the body is damaged, its length is not
-        let found = pieces(&bytes);
-        assert_eq!(whole(&found), 2, "{found:?}");
-        let mut bytes = [record(1, b"the first"), round, record(2, b"the last")].concat();
-        bytes[at] ^= 0x40; // its length is
-        let found = pieces(&bytes);
-        assert!(found.iter().all(|p| !matches!(p, Piece::Record(r) if bytes[r.start] == 5)), "{found:?}");
+        bytes[at + enclosing.len() - 1] ^= 1; // damages the body, not the length
+        let found = split_segment(&bytes);
+        assert_eq!(intact_records(&found), 2, "{found:?}");
+        let mut bytes = [record(1, b"the first"), enclosing, record(2, b"the last")].concat();
+        bytes[at] ^= 0x40; // damages the length
+        let found = split_segment(&bytes);
+        assert!(
+            found.iter().all(|p| !matches!(p, SegmentPart::Record(r) if bytes[r.start] == 5)),
+            "{found:?}"
+        );
     }
 
     #[test]
-    fn no_bytes_panic_and_nothing_is_passed_by() {
+    fn random_bytes_cause_no_panic_and_the_parts_have_no_gaps() {
         let mut state = 7u64;
         for round in 0..2_000 {
             let bytes: Vec<u8> = (0..round % 90)
@@ -177,10 +190,10 @@
                 })
                 .collect();
             let mut at = 0;
-            for piece in pieces(&bytes) {
-                let (begins, ends) = match piece {
-                    Piece::Record(body) => (body.start - HEAD, body.end),
-                    Piece::Damage(part) | Piece::Torn(part) => (part.start, part.end),
+            for part in split_segment(&bytes) {
+                let (begins, ends) = match part {
+                    SegmentPart::Record(body) => (body.start - RECORD_HEADER_BYTES, body.end),
+                    SegmentPart::Damage(range) | SegmentPart::Torn(range) => (range.start, range.end),
                 };
                 assert_eq!(begins, at);
                 at = ends;
--- a/src/store/segments.rs
+++ b/src/store/segments.rs
@@ -1,96 +1,110 @@
-//! Segments: how a new one begins, when an old one goes, and room for more.
+//! Segments: how a new one begins, when an old one is removed, and how room is made for new records.
 
-use super::records::{body, encode_take, put_record, START};
-use super::{Home, Journal, Succession};
+use super::records::{encode_accept, put_record, record_body, SEGMENT_START};
+use super::{Journal, StartMode, Storage};
 use std::collections::BTreeSet;
 use std::io::{self, ErrorKind};
 
-pub(super) const SEGMENT_PARTS: u64 = 16;
-pub(super) const BLOCK: u64 = 512;
+/// The budget is divided into this many segments.
+pub(super) const SEGMENTS_IN_BUDGET: u64 = 16;
+/// Files take up whole blocks of the disk.
+pub(super) const BLOCK_BYTES: u64 = 512;
 
 pub(super) struct Segment {
     pub number: u64,
     pub name: String,
     pub bytes: u64,
-    /// Checksum of all its bytes; the next segment begins with it.
+    /// Checksum of all its bytes; the first record of the next segment holds it.
     pub sum: crc32fast::Hasher,
+    /// The messages whose last accept record is in this segment and still needed.
     pub live: BTreeSet<u64>,
 }
 
 impl Journal {
-    /// Bytes on disk, each file in whole blocks. The ids count twice their share: they are written anew beside
-    /// the old file.
-    pub fn on_disk(&self) -> u64 {
-        let ids = self.ids_bytes.div_ceil(BLOCK) * BLOCK * 2;
-        ids + self.aside + self.segments.iter().map(|s| s.bytes.div_ceil(BLOCK) * BLOCK).sum::<u64>()
+    /// Bytes on disk, each file in whole blocks. The file of ids counts twice, because a new copy is written beside the old
+    /// one.
+    pub fn disk_bytes(&self) -> u64 {
+        let ids = self.ids_bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES * 2;
+        ids + self.damaged_copies_bytes
+            + self.segments.iter().map(|s| s.bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES).sum::<u64>()
     }
 
-    /// Removes segments without live messages. One that can't be removed now is tried again the next time.
-    pub(super) fn drop_dead(&mut self) {
+    /// Removes the oldest segments as long as they hold no live message. If a removal fails, the next call tries it again.
+    pub(super) fn remove_dead_segments(&mut self) {
         while self.segments.len() > 1 && self.segments[0].live.is_empty() {
-            match self.home.remove(&self.segments[0].name) {
+            match self.storage.remove(&self.segments[0].name) {
                 Err(e) if e.kind() != ErrorKind::NotFound => return,
                 _ => drop(self.segments.remove(0)),
             }
         }
     }
 
-    /// Room for so many more bytes, with a reserve: to write one segment again, and for the outcomes and ends of
-    /// what is owed, which may never be turned away. Danger: one long-lived message keeps the oldest segment and
-    /// all after it; so while more than half the budget is used, the live ones of the oldest move to the tail. Not
-    /// where most of it all is live: each req that is refused would have everything written again.
+    /// Makes room for this many more bytes, plus a reserve for rewriting one segment and for the outcomes and ends of the
+    /// pending messages, which must never be refused. Returns whether there is room.
+    ///
+    /// One long-lived message keeps the oldest segment and all after it. So while more than half of the budget is used, the
+    /// live messages of the oldest segment are copied to the tail. This is not done if live messages make up most of the
+    /// journal: every refused req would then rewrite all of it.
     pub(super) fn make_room(&mut self, bytes: u64) -> io::Result<bool> {
         let reserve = self.segment_bytes * 4;
         for _ in 0..self.segments.len() {
-            if self.segments.len() < 2 || self.on_disk() + bytes <= self.budget / 2 {
+            if self.segments.len() < 2 || self.disk_bytes() + bytes <= self.budget / 2 {
                 break;
             }
-            let live: u64 = self.owed.values().map(|o| o.req.body.len() as u64 + 512).sum();
-            if live * 2 > self.on_disk() {
+            let live: u64 = self.pending.values().map(|s| s.req.body.len() as u64 + 512).sum();
+            if live * 2 > self.disk_bytes() {
                 break;
             }
-            // Some may only wait to be put away.
-            let is_owed = |m: &u64| self.owed.contains_key(m);
-            let oldest: Vec<u64> = self.segments[0].live.iter().copied().filter(is_owed).collect();
+            // The others have ended and only wait for the history to store them.
+            let is_pending = |m: &u64| self.pending.contains_key(m);
+            let oldest: Vec<u64> = self.segments[0].live.iter().copied().filter(is_pending).collect();
             if oldest.is_empty() {
                 break;
             }
-            let moved: u64 =
-                oldest.iter().filter_map(|m| self.owed.get(m)).map(|o| o.req.body.len() as u64 + 512).sum();
-            if self.on_disk() + moved + self.segment_bytes > self.budget {
+            let moved: u64 = oldest
+                .iter()
+                .filter_map(|m| self.pending.get(m))
+                .map(|s| s.req.body.len() as u64 + 512)
+                .sum();
+            if self.disk_bytes() + moved + self.segment_bytes > self.budget {
                 break;
             }
             for msg in oldest {
-                if let Some(body) = self.owed.get(&msg).map(|owed| encode_take(msg, owed)) {
+                if let Some(body) = self.pending.get(&msg).map(|state| encode_accept(msg, state)) {
                     self.append_now(&body)?;
-                    self.lives_here(msg);
+                    self.set_live_in_tail(msg);
                 }
             }
-            self.drop_dead();
+            self.remove_dead_segments();
         }
-        // The history gives way to traffic.
-        while self.segments.len() > 1 && self.on_disk() + bytes + reserve > self.budget && self.let_go() {}
-        Ok(self.on_disk() + bytes + reserve <= self.budget)
+        // New messages take precedence over ended ones that wait for the history.
+        while self.segments.len() > 1
+            && self.disk_bytes() + bytes + reserve > self.budget
+            && self.drop_oldest_ended()
+        {}
+        Ok(self.disk_bytes() + bytes + reserve <= self.budget)
     }
 }
 
-/// A segment begins with who writes it, and with what the one before it was at that moment.
+/// Begins a segment with a record that holds the writing process's incarnation and start mode, and the current number,
+/// length and checksum of the preceding segment.
 pub(super) fn new_segment(
-    home: &mut dyn Home, number: u64, incarnation: u64, succession: Succession, before: Option<&Segment>,
+    storage: &mut dyn Storage, number: u64, incarnation: u64, start_mode: StartMode,
+    preceding: Option<&Segment>,
 ) -> io::Result<Segment> {
     let name = format!("{number:08}.log");
-    let mut start = body(START, 0);
+    let mut start = record_body(SEGMENT_START, 0);
     start.extend(incarnation.to_le_bytes());
-    let (last, bytes, sum) = before.map_or((0, 0, 0), |s| (s.number, s.bytes, s.sum.clone().finalize()));
+    let (last, bytes, sum) = preceding.map_or((0, 0, 0), |s| (s.number, s.bytes, s.sum.clone().finalize()));
     start.extend(last.to_le_bytes());
     start.extend(bytes.to_le_bytes());
     start.extend(sum.to_le_bytes());
-    start.push(succession.to_byte());
+    start.push(start_mode.to_byte());
     let mut record = Vec::new();
     put_record(&mut record, &start);
-    // What a failed append left there would stand before the first record.
-    home.truncate(&name, 0)?;
-    home.append(&name, &record)?;
+    // Without this, bytes of an earlier failed append would precede the first record.
+    storage.truncate(&name, 0)?;
+    storage.append(&name, &record)?;
     let mut sum = crc32fast::Hasher::new();
     sum.update(&record);
     Ok(Segment { number, name, bytes: record.len() as u64, sum, live: BTreeSet::new() })
--- a/src/store/home.rs
+++ b/src/store/storage.rs
@@ -1,4 +1,4 @@
-//! Where a journal's files are: a folder, or memory. Nothing above knows which.
+//! Storage for the journal's files: a directory on disk, or memory. The code above works with either.
 
 use crate::net::errors::is_out_of_descriptors;
 use std::collections::BTreeMap;
@@ -7,75 +7,76 @@
 use std::path::PathBuf;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A place for files of bytes. What was appended outlasts the process that did it; nothing is promised of a machine that
-/// is lost.
-pub trait Home: Send {
+/// A place for files. Appended data survives the process that wrote it, but not necessarily the loss of the machine.
+pub trait Storage: Send {
     /// Names of all files.
     fn names(&self) -> io::Result<Vec<String>>;
-    /// All of a file; `None` if there is none.
+    /// Reads a whole file; `None` if it does not exist.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
-    /// Adds to the end of a file, which is made if there is none.
+    /// Appends to a file, which is created if it does not exist.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Puts these bytes in the place of a file, all or none of them.
+    /// Replaces a file's content atomically.
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts a file to its first bytes.
+    /// Cuts a file to its first `length` bytes.
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()>;
-    /// Takes a file away.
+    /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// Files that are kept open for their next append: the journal's tail and the list of ids.
-const OPEN_MOST: usize = 2;
+/// Number of files that are kept open for their next append: the journal's tail and the list of ids.
+const MAX_OPEN_FILES: usize = 2;
 
-/// A folder on disk.
-pub struct Folder {
+/// Files in a directory on disk.
+pub struct DirStorage {
     dir: PathBuf,
-    open: Vec<(String, File)>,
+    open_files: Vec<(String, File)>,
 }
 
-impl Folder {
-    /// The folder, which is made if there is none.
-    pub fn new(dir: impl Into<PathBuf>) -> io::Result<Folder> {
+impl DirStorage {
+    /// Opens the directory, which is created if it does not exist.
+    pub fn new(dir: impl Into<PathBuf>) -> io::Result<DirStorage> {
         let dir = dir.into();
         fs::create_dir_all(&dir)?;
-        Ok(Folder { dir, open: Vec::new() })
+        Ok(DirStorage { dir, open_files: Vec::new() })
     }
 
     fn file(&mut self, name: &str) -> io::Result<&mut File> {
-        let at = match self.open.iter().position(|(n, _)| n == name) {
+        let at = match self.open_files.iter().position(|(n, _)| n == name) {
             Some(at) => at,
             None => {
                 let path = self.dir.join(name);
                 let file =
                     self.with_descriptor(|| OpenOptions::new().create(true).append(true).open(&path))?;
-                if self.open.len() >= OPEN_MOST {
-                    self.open.remove(0);
+                if self.open_files.len() >= MAX_OPEN_FILES {
+                    self.open_files.remove(0);
                 }
-                self.open.push((name.to_owned(), file));
-                self.open.len() - 1
+                self.open_files.push((name.to_owned(), file));
+                self.open_files.len() - 1
             }
         };
-        Ok(&mut self.open[at].1)
+        Ok(&mut self.open_files[at].1)
     }
 
-    /// Danger: where connections hold all descriptors, a journal that wants one more is no more written. It closes one of its own
-    /// first, which is opened again when it is needed.
+    /// Retries `open` after closing one of the storage's own files if no file descriptor is left; the closed file is opened
+    /// again when it is needed. Otherwise connections that use up all descriptors would stop the journal's writes.
     fn with_descriptor<T>(&mut self, open: impl Fn() -> io::Result<T>) -> io::Result<T> {
         loop {
             match open() {
-                Err(e) if is_out_of_descriptors(&e) && !self.open.is_empty() => drop(self.open.remove(0)),
+                Err(e) if is_out_of_descriptors(&e) && !self.open_files.is_empty() => {
+                    drop(self.open_files.remove(0))
+                }
                 other => return other,
             }
         }
     }
 
-    /// After an error too: what is behind the name may be another file by the next try.
+    /// Closes a file. After an error it must be reopened too, as its name may lead to another file by the next try.
     fn close(&mut self, name: &str) {
-        self.open.retain(|(n, _)| n != name);
+        self.open_files.retain(|(n, _)| n != name);
     }
 }
 
-impl Home for Folder {
+impl Storage for DirStorage {
     fn names(&self) -> io::Result<Vec<String>> {
         let names = fs::read_dir(&self.dir)?.map(|e| e.map(|e| e.file_name().to_string_lossy().into_owned()));
         names.collect()
@@ -94,13 +95,13 @@
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        // Danger: the file that is open is the one that goes.
+        // The open descriptor refers to the file that is about to be replaced.
         self.close(name);
-        let beside = self.dir.join(format!("{name}.new"));
-        let written = self.with_descriptor(|| fs::write(&beside, bytes));
-        let replaced = written.and_then(|()| fs::rename(&beside, self.dir.join(name)));
-        // Half a file takes room that others may need. If it can't be removed, the next write replaces it.
-        replaced.inspect_err(|_| drop(fs::remove_file(&beside)))
+        let temporary = self.dir.join(format!("{name}.new"));
+        let written = self.with_descriptor(|| fs::write(&temporary, bytes));
+        let replaced = written.and_then(|()| fs::rename(&temporary, self.dir.join(name)));
+        // A partly written file takes disk space that others may need. If it can't be removed, the next write replaces it.
+        replaced.inspect_err(|_| drop(fs::remove_file(&temporary)))
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
@@ -114,28 +115,28 @@
     }
 }
 
-/// Files in memory, for an emulated machine: whoever holds a clone sees the same files, so they outlast an emulated
-/// process as those of a folder do.
+/// Files in memory, for an emulated machine. Clones share the files, so these outlast an emulated process as those in a
+/// directory outlast a real one.
 #[derive(Debug, Clone, Default)]
-pub struct Memory(Arc<Mutex<BTreeMap<String, Vec<u8>>>>);
+pub struct MemoryStorage(Arc<Mutex<BTreeMap<String, Vec<u8>>>>);
 
-impl Memory {
+impl MemoryStorage {
     fn files(&self) -> MutexGuard<'_, BTreeMap<String, Vec<u8>>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Bytes in all files.
+    /// Total size of all files in bytes.
     pub fn bytes(&self) -> usize {
         self.files().values().map(Vec::len).sum()
     }
 
-    /// The machine is lost, and all files with it.
-    pub fn lose(&self) {
+    /// Removes all files, as the loss of the machine does.
+    pub fn clear(&self) {
         self.files().clear();
     }
 }
 
-impl Home for Memory {
+impl Storage for MemoryStorage {
     fn names(&self) -> io::Result<Vec<String>> {
         Ok(self.files().keys().cloned().collect())
     }
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -12,7 +12,7 @@
 use crate::core::{Clock, Courier};
 use crate::net::acceptor::{AcceptorHandle, ExportedConnection};
 use crate::net::spawn;
-use crate::store::owner::{self, Owner, Refusal};
+use crate::store::owner::{self, ClaimError, Owner};
 use crossbeam_channel::{bounded, unbounded, Receiver};
 use frame::{receive, send, Frame, MAX_FRAME_FDS};
 use phase::{NewAction, NewEvent, NewPhase, OldAction, OldEvent, OldPhase, VERSION};
@@ -266,7 +266,7 @@
     loop {
         let owned = match owner::claim(dir, clock.now(), 0) {
             Ok(owner) => return Ok((owner, None)),
-            Err(e @ Refusal::Owned(_)) if can_request => e,
+            Err(e @ ClaimError::Owned(_)) if can_request => e,
             Err(e) => return Err(e.to_string()),
         };
         let mut errors = Vec::new();
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -118,7 +118,7 @@
         due,
         head: format!("k-{id}"),
         body: b"x"[..].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     })
 }
 
@@ -138,9 +138,9 @@
             (3, req("in-window", now + Micros(15 * S))),
             (4, req("past-window", now + Micros(15 * S))),
         ];
-        assert_eq!(journal.take(&accepted).unwrap(), 4);
-        journal.begin(3, now - Micros(S / 2), "s-0").unwrap();
-        journal.begin(4, now - window - Micros(S), "s-0").unwrap();
+        assert_eq!(journal.accept(&accepted).unwrap(), 4);
+        journal.start_attempt(3, now - Micros(S / 2), "s-0").unwrap();
+        journal.start_attempt(4, now - window - Micros(S), "s-0").unwrap();
         drop(journal);
         let (_program, _) = site.start();
         until("the deliveries", || site.delivered().len() >= 2);
--- a/tests/core.rs
+++ b/tests/core.rs
@@ -5,7 +5,7 @@
 
 use common::{class, keyed, settings, S};
 use indigohold::core::*;
-use indigohold::store::home::Memory;
+use indigohold::store::storage::MemoryStorage;
 use indigohold::store::Journal;
 use indigohold::{Effect, Micros};
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
         due: courier.clock.now() + Micros(20 * S),
         head: String::new(),
         body: [1, 2][..].into(),
-        keep_id: courier.clock.now() + Micros(600 * S),
+        keep_id_until: courier.clock.now() + Micros(600 * S),
     }
 }
 
@@ -114,7 +114,7 @@
     report_list(&courier, 0, vec![endpoint("a", 7, EndpointState::Up)]);
     let hand_in = |class, body: &[u8]| {
         let template = req(&courier, "m", 0, 7, class);
-        courier.report(Report::Req(Req { keep_id: Micros(0), body: body.into(), ..template }))
+        courier.report(Report::Req(Req { keep_id_until: Micros(0), body: body.into(), ..template }))
     };
     let Answer::Taken(msg) = hand_in(1, &[1]) else { panic!("the first req must be accepted") };
     assert!(matches!(hand_in(0, &[1]), Answer::Refused(_)), "another class is another message");
@@ -131,7 +131,7 @@
     let mut settings = settings();
     settings.classes = vec![class(Effect::Safe), class(keyed())];
     let start = Micros(1_000 * S);
-    let journal = Journal::at(Box::new(Memory::default()), 3_000_000, start).unwrap();
+    let journal = Journal::open_storage(Box::new(MemoryStorage::default()), 3_000_000, start).unwrap();
     let (mut core, orders) = Core::new(settings, 1, start, journal, Options::default());
     let update = ListUpdate::full(Source::Discovery, 0, vec![endpoint("a", 7, EndpointState::Up)], start);
     core.report(start, Report::List { front: 0, update });
@@ -157,7 +157,7 @@
             due: now + Micros(28 * S),
             head: "k".into(),
             body: [1][..].into(),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
         };
         let Answer::Taken(msg) = core.report(now, Report::Req(req)) else {
             panic!("the req must be accepted")
@@ -228,7 +228,11 @@
     report_done(&courier, &ordered, End::Unsent);
     drop(courier);
     let journal = Journal::open(&dir, 3_000_000, Micros(0)).unwrap();
-    assert_eq!(journal.owed()[&msg].tries, 0, "the next run recovers the message without a counted attempt");
+    assert_eq!(
+        journal.pending()[&msg].attempts,
+        0,
+        "the next run recovers the message without a counted attempt"
+    );
 }
 
 /// Guards against repeating an unsafe message after a restart: its attempt was in flight when the process was killed and
@@ -248,7 +252,9 @@
     drop(before);
     let after = courier(&dir);
     match next_fetch_or_notice(&after) {
-        Order::Notice(notice) => assert_eq!((notice.msg, notice.verdict), (unsafe_msg, Verdict::GivenUp)),
+        Order::Notice(notice) => {
+            assert_eq!((notice.msg, notice.verdict), (unsafe_msg, FinalOutcome::GivenUp))
+        }
         other => panic!("{other:?}"),
     }
     report_list(&after, 0, vec![endpoint("a", 7, EndpointState::Up)]);
@@ -281,7 +287,7 @@
         Order::Notice(notice) => {
             assert_eq!(
                 (notice.msg, notice.verdict, &*notice.last_reply),
-                (msg, Verdict::GivenUp, "its last word")
+                (msg, FinalOutcome::GivenUp, "its last word")
             );
         }
         other => panic!("{other:?}"),
@@ -380,7 +386,7 @@
 fn retry_after_does_not_exceed_the_configured_maximum() {
     let (clock, mut settings) = (Clock::start(), settings());
     settings.limits.max_retry_after = Some(Micros(S / 5));
-    let journal = Journal::at(Box::new(Memory::default()), 3_000_000, clock.now()).unwrap();
+    let journal = Journal::open_storage(Box::new(MemoryStorage::default()), 3_000_000, clock.now()).unwrap();
     let courier = Courier::new(settings, 1, clock, journal, Options::default());
     assert_eq!(courier.report(Report::Req(req(&courier, "m1", 0, 3, 0))), Answer::Refused(Micros(S / 5)));
 }
--- a/tests/history_backlog.rs
+++ b/tests/history_backlog.rs
@@ -61,7 +61,7 @@
         due: courier.clock.now() + Micros(25 * S),
         head: String::new(),
         body: vec![n as u8; bytes].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     };
     let answers = courier.hand_in((0..8).map(req).collect());
     let taken =
--- a/tests/history_ends.rs
+++ b/tests/history_ends.rs
@@ -10,8 +10,8 @@
 use indigohold::history::hearing::{Hearing, Quorum};
 use indigohold::history::keeper::Keeper;
 use indigohold::history::retention::{Scope, ANY};
-use indigohold::history::store::{History, How};
-use indigohold::store::home::{Home, Memory};
+use indigohold::history::store::{EndKind, History};
+use indigohold::store::storage::{MemoryStorage, Storage};
 use indigohold::store::Journal;
 use indigohold::{Effect, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,24 +37,24 @@
 }
 
 /// What the next process makes of both: numbers owed, messages kept by number, and how many only the journal had ended.
-fn next_life(dir: &Path, journal: &mut Journal) -> (BTreeSet<u64>, BTreeMap<u64, (String, How)>, usize) {
+fn next_life(dir: &Path, journal: &mut Journal) -> (BTreeSet<u64>, BTreeMap<u64, (String, EndKind)>, usize) {
     let mut history = History::open(dir, &config()).unwrap();
     assert_eq!(history.counts().begun_anew, 0);
     let before = history.len();
-    history.still_owed(journal.owed().keys().copied()).unwrap();
+    history.still_owed(journal.pending().keys().copied()).unwrap();
     assert_eq!(history.len(), before, "the journal leads: what it owes has never been put away");
-    let caught = history.catch_up(Micros(0), &journal.ended()).unwrap();
+    let caught = history.catch_up(Micros(0), &journal.take_ended()).unwrap();
     assert_eq!(history.len(), before + caught, "what was there is not put in again");
     let alone = Hearing::new(1, Quorum::share(1, 1.0), Micros(S));
     let span = (Micros(0), Micros(u64::MAX));
     let kept = history.shown(Micros(0), &alone, ALL, span, usize::MAX).unwrap().unwrap();
     let kept: BTreeMap<u64, _> = kept.into_iter().map(|(n, k)| (n, (k.id, k.how))).collect();
-    (journal.owed().keys().copied().collect(), kept, caught)
+    (journal.pending().keys().copied().collect(), kept, caught)
 }
 
 /// What a kill at one moment leaves behind, and which messages had been taken on by then.
 struct Shot {
-    files: Memory,
+    files: MemoryStorage,
     history: Vec<u8>,
     taken: BTreeSet<u64>,
 }
@@ -70,7 +70,7 @@
 
 /// A journal's home that keeps what a kill before and after each write would leave.
 struct Watched {
-    inner: Memory,
+    inner: MemoryStorage,
     history: std::path::PathBuf,
     film: Arc<Mutex<Film>>,
     hook: Hook,
@@ -78,7 +78,7 @@
 
 impl Watched {
     fn shoot(&self) {
-        let mut files = Memory::default();
+        let mut files = MemoryStorage::default();
         for name in self.inner.names().unwrap() {
             files.append(&name, &self.inner.read(&name).unwrap().unwrap()).unwrap();
         }
@@ -89,7 +89,7 @@
     }
 }
 
-impl Home for Watched {
+impl Storage for Watched {
     fn names(&self) -> io::Result<Vec<String>> {
         self.inner.names()
     }
@@ -131,12 +131,12 @@
 #[test]
 fn a_kill_at_any_write_of_the_journal_leaves_each_message_in_one_of_both() {
     let (folder, film) = (Folder::new(), Arc::new(Mutex::new(Film::default())));
-    let (inner, history) = (Memory::default(), folder.0.join("history.redb"));
+    let (inner, history) = (MemoryStorage::default(), folder.0.join("history.redb"));
     let hook = Hook::default();
     let home = Box::new(Watched { inner, history, film: film.clone(), hook: hook.clone() });
     let clock = Clock::start();
     // Segments of 8 KiB: records that are gathered for one round do not fit into one.
-    let journal = Journal::at(home, 128 * 1024, clock.now()).unwrap();
+    let journal = Journal::open_storage(home, 128 * 1024, clock.now()).unwrap();
     let mut settings = common::settings();
     settings.classes = vec![class(Effect::Safe)];
     let watch = Box::new(move || clock.now());
@@ -164,7 +164,7 @@
                 due: clock.now() + Micros(25 * S),
                 head: String::new(),
                 body: vec![n; 300].into(),
-                keep_id: Micros(0),
+                keep_id_until: Micros(0),
             };
             let Answer::Taken(msg) = courier.report(Report::Req(req)) else { panic!("m{round}-{n}") };
             film.lock().unwrap().taken.insert(msg);
@@ -199,7 +199,8 @@
     let (mut by_journal, mut by_history, mut last) = (0, 0, 0);
     for (at, shot) in shots.iter().enumerate() {
         fs::write(next.0.join("history.redb"), &shot.history).unwrap();
-        let mut journal = Journal::at(Box::new(shot.files.clone()), 128 * 1024, clock.now()).unwrap();
+        let mut journal =
+            Journal::open_storage(Box::new(shot.files.clone()), 128 * 1024, clock.now()).unwrap();
         let (owed, kept, caught) = next_life(&next.0, &mut journal);
         by_journal += caught;
         by_history += kept.len() - caught;
@@ -255,7 +256,7 @@
     }
     let mut journal = Journal::open(&copy.0, 50_000_000, Micros(0)).unwrap();
     let (_, kept, caught) = next_life(&copy.0, &mut journal);
-    let owed = journal.owed().values().map(|o| o.req.id.clone()).collect();
+    let owed = journal.pending().values().map(|o| o.req.id.clone()).collect();
     let count = kept.len();
     let kept: BTreeSet<String> = kept.into_values().map(|(id, _)| id).collect();
     assert_eq!(kept.len(), count, "no message is kept twice");
--- a/tests/history_spread.rs
+++ b/tests/history_spread.rs
@@ -13,9 +13,9 @@
 use indigohold::history::replay_rider::Replaying;
 use indigohold::history::retention::{Scope, Word, ANY};
 use indigohold::history::rider::{Held, Retention};
-use indigohold::history::store::How;
+use indigohold::history::store::EndKind;
 use indigohold::peers::rider::{kinds, Rider};
-use indigohold::store::{Ended, Owed, Req};
+use indigohold::store::{EndedMessage, MessageState, Req};
 use indigohold::Micros;
 use notes::{Net, S};
 use std::path::PathBuf;
@@ -121,11 +121,18 @@
             due: Micros(0),
             head: String::new(),
             body: vec![1; 100].into(),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
         };
         let (req, said) = (Arc::new(req), String::new());
-        let owed = Owed { req, tries: 1, risk: None, open: None, verdict: None, said };
-        let end = |at| Ended { seq: number, msg: number, owed, at, how: How::Delivered };
+        let owed = MessageState {
+            req,
+            attempts: 1,
+            first_uncertain: None,
+            open_attempt: None,
+            final_outcome: None,
+            last_reply: said,
+        };
+        let end = |at| EndedMessage { seq: number, msg: number, state: owed, at, how: EndKind::Delivered };
         self.with(i, |k, now| k.take_in(now, &[end(now)]));
     }
 
--- a/tests/history_store.rs
+++ b/tests/history_store.rs
@@ -5,8 +5,8 @@
 use indigohold::history::reading::World;
 use indigohold::history::replay::{Life, Live, Not, Order, Plan, Run};
 use indigohold::history::retention::*;
-use indigohold::history::store::{History, How};
-use indigohold::store::{Owed, Req};
+use indigohold::history::store::{EndKind, History};
+use indigohold::store::{MessageState, Req};
 use indigohold::{Effect, Micros};
 use proptest::prelude::*;
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     HistoryConfig { disk: 2 << 20, ..parse(b"{}", &[], &[]).unwrap() }
 }
 
-fn owed(n: u64, tenant: u16, bytes: usize) -> Owed {
+fn owed(n: u64, tenant: u16, bytes: usize) -> MessageState {
     let req = Req {
         id: format!("m{n}"),
         front: 0,
@@ -36,9 +36,16 @@
         due: Micros(0),
         head: String::new(),
         body: vec![n as u8; bytes].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     };
-    Owed { req: Arc::new(req), tries: 1, risk: None, open: None, verdict: None, said: String::new() }
+    MessageState {
+        req: Arc::new(req),
+        attempts: 1,
+        first_uncertain: None,
+        open_attempt: None,
+        final_outcome: None,
+        last_reply: String::new(),
+    }
 }
 
 fn policy(book: &Book, keep: u32) -> (Scope, Entry) {
@@ -70,16 +77,16 @@
     let (dir, next) = (folder("killed"), folder("killed-next"));
     let mut history = History::open(&dir, &config()).unwrap();
     history.apply(Micros(0), &[policy(history.book(), 100)]).unwrap();
-    history.ended(Micros(S), 5, &owed(5, 1, 100), How::Delivered);
+    history.ended(Micros(S), 5, &owed(5, 1, 100), EndKind::Delivered);
     assert_eq!(killed(&dir, &next).len(), 0, "nothing is here before it is written: the journal owes it");
     history.write(Micros(S));
     let mut after = killed(&dir, &next);
     assert_eq!((after.len(), after.next_number()), (1, 6));
     after.still_owed([4, 5]).unwrap();
     assert!(after.is_empty(), "the journal had not written its end: it is the journal's");
-    after.ended(Micros(2 * S), 5, &owed(5, 1, 100), How::Delivered);
-    after.ended(Micros(3 * S), 5, &owed(5, 1, 100), How::Delivered);
-    after.ended(Micros(3 * S), 6, &owed(6, 2, 100), How::Delivered);
+    after.ended(Micros(2 * S), 5, &owed(5, 1, 100), EndKind::Delivered);
+    after.ended(Micros(3 * S), 5, &owed(5, 1, 100), EndKind::Delivered);
+    after.ended(Micros(3 * S), 6, &owed(6, 2, 100), EndKind::Delivered);
     after.write(Micros(3 * S));
     assert_eq!(after.len(), 1, "once, and nothing of a tenant without a policy");
 }
@@ -90,7 +97,7 @@
     let mut history = History::open(&dir, &config()).unwrap();
     history.apply(Micros(0), &[policy(history.book(), 100)]).unwrap();
     for n in 0..10 {
-        history.ended(Micros(n * S), n, &owed(n, 1, 100), How::Delivered);
+        history.ended(Micros(n * S), n, &owed(n, 1, 100), EndKind::Delivered);
     }
     let forget = history.book().forgetting(CHANNEL, Micros(4 * S), false).unwrap();
     history.apply(Micros(20 * S), &[(CHANNEL, forget)]).unwrap();
@@ -98,7 +105,7 @@
     assert_eq!(after.len(), 5);
     assert_eq!(after.told(Micros(20 * S), 1, 1).unwrap().forgot, 4);
     assert_eq!(after.told(Micros(20 * S), 1, 1).unwrap().oldest, Some(Micros(5 * S)));
-    after.ended(Micros(2 * S), 77, &owed(77, 1, 100), How::Delivered);
+    after.ended(Micros(2 * S), 77, &owed(77, 1, 100), EndKind::Delivered);
     after.write(Micros(20 * S));
     assert_eq!(after.len(), 5, "also what comes late");
     let span = (Micros(0), Micros(900 * S));
@@ -113,7 +120,7 @@
     let dir = folder("large");
     let mut history = History::open(&dir, &HistoryConfig { disk: 8 << 20, ..config() }).unwrap();
     history.apply(Micros(0), &[policy(history.book(), 100)]).unwrap();
-    (0..1_200).for_each(|n| history.ended(Micros(S), n, &owed(n, 1, 10), How::Delivered));
+    (0..1_200).for_each(|n| history.ended(Micros(S), n, &owed(n, 1, 10), EndKind::Delivered));
     history.write(Micros(S));
     let forget = history.book().forgetting(CHANNEL, Micros(4 * S), false).unwrap();
     history.apply(Micros(5 * S), &[(CHANNEL, forget)]).unwrap();
@@ -132,9 +139,9 @@
     let mut history = History::open(&dir, &config()).unwrap();
     history.apply(Micros(0), &[policy(history.book(), 1_000)]).unwrap();
     for n in 0..3 {
-        history.ended(Micros(S), n, &owed(n, 1, 100), How::Delivered);
+        history.ended(Micros(S), n, &owed(n, 1, 100), EndKind::Delivered);
     }
-    history.ended(Micros(S), 3, &owed(3, 1, 100), How::HandedBack);
+    history.ended(Micros(S), 3, &owed(3, 1, 100), EndKind::HandedBack);
     history.write(Micros(S));
     let hearing = alone();
     let life = |number| Life { hearing: &hearing, number, again_after: Micros(50 * S) };
@@ -170,7 +177,7 @@
         history.apply(Micros(0), &[policy(history.book(), 100_000)]).unwrap();
         let mut peak = 0;
         for n in 0..2_000 {
-            history.ended(Micros(n * 1_000), n, &owed(n, 1, bytes), How::Delivered);
+            history.ended(Micros(n * 1_000), n, &owed(n, 1, bytes), EndKind::Delivered);
             if n % together == 0 {
                 history.write(Micros(n * 1_000));
                 peak = peak.max(std::fs::metadata(dir.join("history.redb")).unwrap().len());
@@ -189,7 +196,7 @@
     let dir = folder("damage");
     let mut history = History::open(&dir, &config()).unwrap();
     history.apply(Micros(0), &[policy(history.book(), 100)]).unwrap();
-    history.ended(Micros(S), 1, &owed(1, 1, 5_000), How::Delivered);
+    history.ended(Micros(S), 1, &owed(1, 1, 5_000), EndKind::Delivered);
     history.write(Micros(S));
     drop(history);
     let path = dir.join("history.redb");
--- a/tests/journal_faults.rs
+++ b/tests/journal_faults.rs
@@ -2,11 +2,11 @@
 //! life, with a part of the bytes written; then a restart. What was taken on stays owed, what was refused is not, and nothing that
 //! a failed write left makes other records unreadable.
 
-#[path = "support/faulty_home.rs"]
-mod faulty_home;
+#[path = "support/faulty_storage.rs"]
+mod faulty_storage;
 
-use faulty_home::{FaultyHome, Script, IO_ERROR, NO_SPACE};
-use indigohold::store::{Journal, Owed, Req, Verdict};
+use faulty_storage::{FaultyStorage, Script, IO_ERROR, NO_SPACE};
+use indigohold::store::{FinalOutcome, Journal, MessageState, Req};
 use indigohold::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -25,12 +25,12 @@
         due: Micros(99_000_000),
         head: "key".into(),
         body: vec![msg as u8; 40].into(),
-        keep_id: Micros(99_000_000),
+        keep_id_until: Micros(99_000_000),
     })
 }
 
-fn open(home: &FaultyHome) -> Journal {
-    Journal::at(Box::new(home.clone()), DISK, Micros(100)).expect("reading never fails here")
+fn open(home: &FaultyStorage) -> Journal {
+    Journal::open_storage(Box::new(home.clone()), DISK, Micros(100)).expect("reading never fails here")
 }
 
 /// What the journal's user knows of its messages.
@@ -46,7 +46,7 @@
 impl Known {
     fn take(&mut self, journal: &mut Journal, msgs: &[u64]) {
         let batch: Vec<(u64, Arc<Req>)> = msgs.iter().map(|msg| (*msg, req(*msg))).collect();
-        let taken = journal.take(&batch).unwrap_or(0);
+        let taken = journal.accept(&batch).unwrap_or(0);
         self.taken.extend(&msgs[..taken]);
         self.refused.extend(&msgs[taken..]);
     }
@@ -54,7 +54,7 @@
     fn begin(&mut self, journal: &mut Journal, msgs: &[u64]) {
         let attempts: Vec<(u64, &str)> =
             msgs.iter().filter(|msg| self.taken.contains(msg)).map(|msg| (*msg, "s-1")).collect();
-        if journal.begin_all(Micros(200), &attempts).is_ok() {
+        if journal.start_attempts(Micros(200), &attempts).is_ok() {
             self.begun.extend(attempts.iter().map(|(msg, _)| msg));
         }
     }
@@ -77,15 +77,15 @@
     known.take(journal, &[1, 2]);
     known.take(journal, &[3]);
     known.begin(journal, &[1]);
-    journal.outcome(1, true, "failed");
+    journal.record_outcome(1, true, "failed");
     known.begin(journal, &[2, 3]);
-    journal.gather();
-    journal.outcome(2, false, "busy");
-    journal.outcome(3, true, "");
-    journal.written();
+    journal.begin_batch();
+    journal.record_outcome(2, false, "busy");
+    journal.record_outcome(3, true, "");
+    journal.write_batch();
     known.end(journal, 1);
     known.take(journal, &[4, 5, 6]);
-    journal.verdict(3, Verdict::HandedBack(Micros(7)));
+    journal.record_final_outcome(3, FinalOutcome::HandedBack(Micros(7)));
     known.begin(journal, &[4]);
     known.end(journal, 5);
     known.take(journal, &[7]);
@@ -94,7 +94,7 @@
     known
 }
 
-fn same(a: &BTreeMap<u64, Owed>, b: &BTreeMap<u64, Owed>, case: &str) {
+fn same(a: &BTreeMap<u64, MessageState>, b: &BTreeMap<u64, MessageState>, case: &str) {
     assert_eq!(a.keys().collect::<Vec<_>>(), b.keys().collect::<Vec<_>>(), "{case}");
     for (msg, owed) in a {
         assert_eq!(*owed, b[msg], "{case}: message {msg}");
@@ -102,9 +102,10 @@
 }
 
 /// After a restart nobody will hear how a call that was out has ended: it may have run.
-fn after_restart(owed: &BTreeMap<u64, Owed>) -> BTreeMap<u64, Owed> {
+fn after_restart(owed: &BTreeMap<u64, MessageState>) -> BTreeMap<u64, MessageState> {
     let mut owed = owed.clone();
-    owed.values_mut().for_each(|owed| owed.risk = owed.risk.take().or(owed.open.take()));
+    owed.values_mut()
+        .for_each(|owed| owed.first_uncertain = owed.first_uncertain.take().or(owed.open_attempt.take()));
     owed
 }
 
@@ -125,20 +126,20 @@
 #[test]
 fn after_a_fault_has_passed_the_folder_says_what_the_process_knew() {
     each_script(|script, case| {
-        let home = FaultyHome::new(script);
+        let home = FaultyStorage::new(script);
         let mut journal = open(&home);
         let known = run(&mut journal);
         home.heal();
-        journal.catch_up().unwrap_or_else(|e| panic!("{case}: {e}"));
-        assert!(!journal.failing(), "{case}");
-        let owed = journal.owed().clone();
+        journal.repair().unwrap_or_else(|e| panic!("{case}: {e}"));
+        assert!(!journal.needs_repair(), "{case}");
+        let owed = journal.pending().clone();
         assert_eq!(owed.keys().copied().collect::<BTreeSet<_>>(), known.owed(), "{case}");
         drop(journal);
         let again = open(&home);
         assert_eq!(again.damages(), (&[][..], 0), "{case}: what a failed write left is no damage");
-        same(&after_restart(&owed), again.owed(), &case);
+        same(&after_restart(&owed), again.pending(), &case);
         for msg in known.ended.iter().filter(|msg| known.begun.contains(msg)) {
-            let recognised = again.knows(&format!("m{msg}"), Micros(400));
+            let recognised = again.knows_id(&format!("m{msg}"), Micros(400));
             assert!(recognised, "{case}: message {msg} may have run and has ended, its id is not recognised");
         }
     });
@@ -147,10 +148,10 @@
 #[test]
 fn a_kill_while_writes_fail_loses_nothing_that_was_taken_and_takes_nothing_up_that_was_refused() {
     each_script(|script, case| {
-        let home = FaultyHome::new(script);
+        let home = FaultyStorage::new(script);
         let mut journal = open(&home);
         let known = run(&mut journal);
-        let owed = journal.owed().clone();
+        let owed = journal.pending().clone();
         // Killed here. Multi-record writes that are cut between two records and can't be taken back are the exception that
         // `refused` leaves out below.
         drop(journal);
@@ -158,14 +159,20 @@
         let again = open(&home);
         assert_eq!(again.damages().1, 0, "{case}: nobody is in doubt");
         for msg in known.owed() {
-            let Some(found) = again.owed().get(&msg) else { panic!("{case}: message {msg} is forgotten") };
+            let Some(found) = again.pending().get(&msg) else { panic!("{case}: message {msg} is forgotten") };
             // What may have run must not count as one that never did.
-            let may_have_run = owed[&msg].risk.is_some() || owed[&msg].open.is_some();
-            assert!(!may_have_run || found.risk.is_some() || found.open.is_some(), "{case}: message {msg}");
+            let may_have_run = owed[&msg].first_uncertain.is_some() || owed[&msg].open_attempt.is_some();
+            assert!(
+                !may_have_run || found.first_uncertain.is_some() || found.open_attempt.is_some(),
+                "{case}: message {msg}"
+            );
         }
         if !script.cuts_fail {
             for msg in &known.refused {
-                assert!(!again.owed().contains_key(msg), "{case}: message {msg} was refused and is taken up");
+                assert!(
+                    !again.pending().contains_key(msg),
+                    "{case}: message {msg} was refused and is taken up"
+                );
             }
         }
     });
@@ -173,57 +180,59 @@
 
 #[test]
 fn a_folder_that_can_not_be_written_at_the_start_still_says_what_is_owed() {
-    let home = FaultyHome::default();
+    let home = FaultyStorage::default();
     let mut journal = open(&home);
     let known = run(&mut journal);
     drop(journal);
     for cuts_fail in [false, true] {
         home.fail(Script { cuts_fail, ..Script::default() });
         let mut journal = open(&home);
-        assert_eq!(journal.owed().keys().copied().collect::<BTreeSet<_>>(), known.owed());
-        assert!(journal.failing());
-        assert!(journal.take(&[(50, req(50))]).is_err(), "what can't be written down is not taken on");
-        assert!(journal.begin(4, Micros(500), "s-1").is_err(), "and no attempt begins");
+        assert_eq!(journal.pending().keys().copied().collect::<BTreeSet<_>>(), known.owed());
+        assert!(journal.needs_repair());
+        assert!(journal.accept(&[(50, req(50))]).is_err(), "what can't be written down is not taken on");
+        assert!(journal.start_attempt(4, Micros(500), "s-1").is_err(), "and no attempt begins");
         home.heal();
-        assert_eq!(journal.take(&[(60, req(60))]).unwrap(), 1);
+        assert_eq!(journal.accept(&[(60, req(60))]).unwrap(), 1);
         journal.end(60, Micros(600));
         drop(journal);
         let journal = open(&home);
-        assert_eq!(journal.owed().keys().copied().collect::<BTreeSet<_>>(), known.owed());
+        assert_eq!(journal.pending().keys().copied().collect::<BTreeSet<_>>(), known.owed());
         assert_eq!(journal.damages(), (&[][..], 0));
     }
 }
 
 #[test]
 fn an_attempt_that_could_not_be_recorded_leaves_the_message_as_it_was() {
-    let home = FaultyHome::default();
+    let home = FaultyStorage::default();
     let mut journal = open(&home);
-    assert_eq!(journal.take(&[(1, req(1)), (2, req(2))]).unwrap(), 2);
-    let before = journal.owed().clone();
+    assert_eq!(journal.accept(&[(1, req(1)), (2, req(2))]).unwrap(), 2);
+    let before = journal.pending().clone();
     home.fail(Script { part: 9, ..Script::default() });
     for _ in 0..3 {
-        journal.begin_all(Micros(200), &[(1, "s-1"), (2, "s-1")]).unwrap_err();
+        journal.start_attempts(Micros(200), &[(1, "s-1"), (2, "s-1")]).unwrap_err();
     }
-    same(&before, journal.owed(), "no attempt is counted, and none may have run");
+    same(&before, journal.pending(), "no attempt is counted, and none may have run");
     home.heal();
-    journal.begin_all(Micros(300), &[(1, "s-1"), (2, "s-1")]).unwrap();
+    journal.start_attempts(Micros(300), &[(1, "s-1"), (2, "s-1")]).unwrap();
     drop(journal);
-    let owed = open(&home).owed().clone();
+    let owed = open(&home).pending().clone();
     let begun = Some((Micros(300), "s-1".to_owned()));
-    assert!(owed.values().all(|owed| owed.tries == 1 && owed.risk == begun && owed.open.is_none()));
+    assert!(owed
+        .values()
+        .all(|owed| owed.attempts == 1 && owed.first_uncertain == begun && owed.open_attempt.is_none()));
 }
 
 #[test]
 fn a_message_is_withdrawn_on_disk_or_not_at_all() {
-    let home = FaultyHome::default();
+    let home = FaultyStorage::default();
     let mut journal = open(&home);
-    assert_eq!(journal.take(&[(1, req(1))]).unwrap(), 1);
+    assert_eq!(journal.accept(&[(1, req(1))]).unwrap(), 1);
     home.fail(Script::default());
     journal.withdraw(1).unwrap_err();
-    assert!(journal.owed().contains_key(&1), "it is still owed");
+    assert!(journal.pending().contains_key(&1), "it is still owed");
     home.heal();
     journal.withdraw(1).unwrap();
-    assert!(journal.owed().is_empty());
+    assert!(journal.pending().is_empty());
     drop(journal);
-    assert!(open(&home).owed().is_empty());
+    assert!(open(&home).pending().is_empty());
 }
--- a/tests/measure_history.rs
+++ b/tests/measure_history.rs
@@ -9,8 +9,8 @@
 use indigohold::history::config::{parse, HistoryConfig};
 use indigohold::history::keeper::Keeper;
 use indigohold::history::retention::{Scope, ANY};
-use indigohold::history::store::How;
-use indigohold::store::{Ended, Journal, Owed};
+use indigohold::history::store::EndKind;
+use indigohold::store::{EndedMessage, Journal, MessageState};
 use indigohold::{Effect, Micros};
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,7 +33,7 @@
         due: clock.now() + Micros(25_000_000),
         head: String::new(),
         body: vec![1; 500].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     }
 }
 
@@ -168,10 +168,17 @@
     let watch = Box::new(move || clock.now());
     let mut keeper = Keeper::open(&folder.0, config(), 1, 1, clock.now(), watch);
     let req = Arc::new(req(&clock, 0));
-    let owed = Owed { req, tries: 1, risk: None, open: None, verdict: None, said: String::new() };
+    let owed = MessageState {
+        req,
+        attempts: 1,
+        first_uncertain: None,
+        open_attempt: None,
+        final_outcome: None,
+        last_reply: String::new(),
+    };
     for round in 0..200_u64 {
-        let (at, how) = (clock.now(), How::Delivered);
-        let end = |n| Ended { seq: n + 1, msg: n, owed: owed.clone(), at, how };
+        let (at, how) = (clock.now(), EndKind::Delivered);
+        let end = |n| EndedMessage { seq: n + 1, msg: n, state: owed.clone(), at, how };
         keeper.take_in(at, &(round * 100..(round + 1) * 100).map(end).collect::<Vec<_>>());
     }
     let begin = Instant::now();
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -118,7 +118,7 @@
             due: self.now + Micros(20 * common::S),
             head: String::new(),
             body: [1][..].into(),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
         };
         let answer = self.core.report(self.now, Report::Req(req));
         let Answer::Taken(msg) = answer else { panic!("{answer:?}") };
--- a/tests/recording.rs
+++ b/tests/recording.rs
@@ -3,12 +3,12 @@
 //! or that does not resume once the journal directory can be written again.
 
 mod common;
-#[path = "support/faulty_home.rs"]
-mod faulty_home;
+#[path = "support/faulty_storage.rs"]
+mod faulty_storage;
 
 use common::{class, settings, S};
 use crossbeam_channel::Receiver;
-use faulty_home::{FaultyHome, Script, IO_ERROR};
+use faulty_storage::{FaultyStorage, Script, IO_ERROR};
 use indigohold::core::*;
 use indigohold::store::Journal;
 use indigohold::{Effect, Micros};
@@ -23,10 +23,10 @@
     now: Micros,
 }
 
-fn start_run(home: &FaultyHome, now: Micros) -> ProcessRun {
+fn start_run(home: &FaultyStorage, now: Micros) -> ProcessRun {
     let mut settings = settings();
     settings.classes = vec![class(Effect::Safe), class(Effect::Unsafe)];
-    let journal = Journal::at(Box::new(home.clone()), DISK, now).unwrap();
+    let journal = Journal::open_storage(Box::new(home.clone()), DISK, now).unwrap();
     let (mut core, orders) = Core::new(settings, 1, now, journal, Options::default());
     let addr = "127.0.0.1:9".parse().unwrap();
     let endpoint = EndpointRecord {
@@ -57,7 +57,7 @@
             due: START + TIME_TO_DUE,
             head: String::new(),
             body: [1, 2][..].into(),
-            keep_id: Micros(0),
+            keep_id_until: Micros(0),
         };
         let answer = self.core.report(self.now, Report::Req(req));
         if let Answer::Taken(msg) = answer {
@@ -99,7 +99,7 @@
 
 #[test]
 fn no_message_is_accepted_and_no_attempt_begins_while_the_journal_cannot_be_written() {
-    let home = FaultyHome::default();
+    let home = FaultyStorage::default();
     let mut run = start_run(&home, START);
     let Answer::Taken(msg) = run.accept("first", 1) else {
         panic!("the first message must be recorded and accepted")
@@ -133,7 +133,7 @@
 
 #[test]
 fn a_notice_is_sent_only_once_the_end_is_recorded() {
-    let home = FaultyHome::default();
+    let home = FaultyStorage::default();
     let mut run = start_run(&home, START);
     assert!(matches!(run.accept("first", 0), Answer::Taken(_)));
     let fetch = run.next_fetch();
@@ -155,7 +155,7 @@
 /// record of the end.
 #[test]
 fn a_notice_is_sent_without_a_record_once_the_message_is_due() {
-    let home = FaultyHome::default();
+    let home = FaultyStorage::default();
     let mut run = start_run(&home, START);
     assert!(matches!(run.accept("first", 0), Answer::Taken(_)));
     let fetch = run.next_fetch();
@@ -175,7 +175,7 @@
 /// journal cannot record its end: after a kill the message would be recovered and delivered.
 #[test]
 fn a_refusal_that_cannot_be_recorded_becomes_an_acceptance_and_a_notice() {
-    let home = FaultyHome::default();
+    let home = FaultyStorage::default();
     let mut run = start_run(&home, START);
     // No attempt begins, so the policy refuses new messages after some time.
     let mut refused = None;
--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -140,7 +140,7 @@
         due: courier.clock.now() + Micros(20_000_000),
         head: String::new(),
         body: [1][..].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     };
     let answer = courier.report(Report::Req(req));
     assert!(matches!(answer, Answer::Taken(_)), "{answer:?}");
--- a/tests/store.rs
+++ b/tests/store.rs
@@ -1,6 +1,6 @@
 //! The journal: what it gives back after a stop anywhere, and the room that it keeps to.
 
-use indigohold::store::{Journal, Req, Verdict};
+use indigohold::store::{FinalOutcome, Journal, Req};
 use indigohold::Micros;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
         due: Micros(999),
         head: "key".into(),
         body: vec![7; bytes].into(),
-        keep_id: Micros(5_000),
+        keep_id_until: Micros(5_000),
     })
 }
 
@@ -41,31 +41,35 @@
     let dir = folder("state");
     let mut journal = open(&dir);
     for msg in 1..=4 {
-        assert_eq!(journal.take(&[(msg, req(&format!("m{msg}"), 10))]).unwrap(), 1);
+        assert_eq!(journal.accept(&[(msg, req(&format!("m{msg}"), 10))]).unwrap(), 1);
     }
-    journal.begin(1, Micros(200), "s-1").unwrap();
-    journal.outcome(1, false, "busy");
-    journal.begin(1, Micros(300), "s-2").unwrap();
-    journal.begin(2, Micros(400), "s-1").unwrap();
-    journal.outcome(2, true, "");
-    journal.begin(2, Micros(500), "s-2").unwrap();
-    journal.verdict(3, Verdict::HandedBack(Micros(77)));
+    journal.start_attempt(1, Micros(200), "s-1").unwrap();
+    journal.record_outcome(1, false, "busy");
+    journal.start_attempt(1, Micros(300), "s-2").unwrap();
+    journal.start_attempt(2, Micros(400), "s-1").unwrap();
+    journal.record_outcome(2, true, "");
+    journal.start_attempt(2, Micros(500), "s-2").unwrap();
+    journal.record_final_outcome(3, FinalOutcome::HandedBack(Micros(77)));
     journal.end(4, Micros(600));
     drop(journal);
     let journal = open(&dir);
-    let owed = journal.owed();
+    let owed = journal.pending();
     assert_eq!(owed.keys().copied().collect::<Vec<_>>(), [1, 2, 3]);
     assert_eq!(owed[&1].req, req("m1", 10));
-    assert_eq!(owed[&1].tries, 2);
-    assert_eq!(owed[&1].open, None, "nobody will hear how a call of an earlier process ended");
+    assert_eq!(owed[&1].attempts, 2);
+    assert_eq!(owed[&1].open_attempt, None, "nobody will hear how a call of an earlier process ended");
     assert_eq!(
-        owed[&1].risk,
+        owed[&1].first_uncertain,
         Some((Micros(300), "s-2".into())),
         "so it may have run; the refused one before did not"
     );
-    assert_eq!(owed[&2].risk, Some((Micros(400), "s-1".into())), "the first that may have run counts");
-    assert_eq!(owed[&3].verdict, Some(Verdict::HandedBack(Micros(77))));
-    assert_eq!(owed[&1].said, "busy");
+    assert_eq!(
+        owed[&2].first_uncertain,
+        Some((Micros(400), "s-1".into())),
+        "the first that may have run counts"
+    );
+    assert_eq!(owed[&3].final_outcome, Some(FinalOutcome::HandedBack(Micros(77))));
+    assert_eq!(owed[&1].last_reply, "busy");
 }
 
 /// Guards against a start that fails, or forgets what came before, when the last record was cut by a kill.
@@ -76,24 +80,24 @@
     for rewritten in [false, true] {
         let dir = folder(&format!("left-out-{rewritten}"));
         let mut journal = open(&dir);
-        journal.take(&[(1, req("m1", 10))]).unwrap();
-        journal.begin(1, Micros(200), "s-1").unwrap();
+        journal.accept(&[(1, req("m1", 10))]).unwrap();
+        journal.start_attempt(1, Micros(200), "s-1").unwrap();
         drop(journal);
         for life in 0..3u64 {
             let mut journal = open(&dir);
-            journal.begin(1, Micros(300 + life), "s-2").unwrap();
-            journal.outcome(1, false, "busy");
+            journal.start_attempt(1, Micros(300 + life), "s-2").unwrap();
+            journal.record_outcome(1, false, "busy");
             // Enough for its segment to be written anew.
             for n in 0..if rewritten { 400 } else { 0 } {
                 let msg = 1_000 + life * 1_000 + n;
-                journal.take(&[(msg, req(&format!("x{msg}"), 900))]).unwrap();
+                journal.accept(&[(msg, req(&format!("x{msg}"), 900))]).unwrap();
                 journal.end(msg, Micros(400));
             }
         }
         let journal = open(&dir);
-        let owed = &journal.owed()[&1];
-        assert_eq!((owed.tries, owed.open.clone()), (4, None));
-        assert_eq!(owed.risk, Some((Micros(200), "s-1".into())), "the first call may have run");
+        let owed = &journal.pending()[&1];
+        assert_eq!((owed.attempts, owed.open_attempt.clone()), (4, None));
+        assert_eq!(owed.first_uncertain, Some((Micros(200), "s-1".into())), "the first call may have run");
     }
 }
 
@@ -101,8 +105,8 @@
 fn a_tail_torn_anywhere_costs_only_its_own_record() {
     let dir = folder("torn");
     let mut journal = open(&dir);
-    journal.take(&[(1, req("a", 10))]).unwrap();
-    journal.take(&[(2, req("b", 10))]).unwrap();
+    journal.accept(&[(1, req("a", 10))]).unwrap();
+    journal.accept(&[(2, req("b", 10))]).unwrap();
     drop(journal);
     let file =
         fs::read_dir(&dir).unwrap().map(|f| f.unwrap().path()).find(|p| p.ends_with("00000001.log")).unwrap();
@@ -114,7 +118,7 @@
         fs::write(&file, &whole[..cut]).unwrap();
         let journal = open(&dir);
         let wanted = if cut < first { 0 } else { 1 };
-        assert_eq!(journal.owed().len(), wanted, "cut at {cut}");
+        assert_eq!(journal.pending().len(), wanted, "cut at {cut}");
         assert!(journal.damages().0.is_empty(), "cut at {cut}");
         for extra in fs::read_dir(&dir).unwrap().map(|f| f.unwrap().path()).filter(|p| *p != file) {
             fs::remove_file(extra).unwrap();
@@ -125,7 +129,7 @@
     fs::write(&file, damaged).unwrap();
     let journal = open(&dir);
     assert_eq!(
-        journal.owed().keys().copied().collect::<Vec<_>>(),
+        journal.pending().keys().copied().collect::<Vec<_>>(),
         [2],
         "what is behind a damaged record is read"
     );
@@ -138,35 +142,35 @@
 fn the_folder_stays_within_its_room() {
     let dir = folder("room");
     let mut journal = open(&dir);
-    assert_eq!(journal.take(&[(1, req("stays", 2000))]).unwrap(), 1);
+    assert_eq!(journal.accept(&[(1, req("stays", 2000))]).unwrap(), 1);
     for msg in 2..3000 {
-        assert_eq!(journal.take(&[(msg, req(&format!("m{msg}"), 3000))]).unwrap(), 1, "message {msg}");
-        journal.begin(msg, Micros(msg), "s-1").unwrap();
+        assert_eq!(journal.accept(&[(msg, req(&format!("m{msg}"), 3000))]).unwrap(), 1, "message {msg}");
+        journal.start_attempt(msg, Micros(msg), "s-1").unwrap();
         journal.end(msg, Micros(msg));
         assert!(on_disk(&dir) <= DISK, "{} bytes after {msg}", on_disk(&dir));
     }
     let mut refused = 0;
     for msg in 3000..3300 {
-        refused += 1 - journal.take(&[(msg, req(&format!("m{msg}"), 3000))]).unwrap();
+        refused += 1 - journal.accept(&[(msg, req(&format!("m{msg}"), 3000))]).unwrap();
         assert!(on_disk(&dir) <= DISK);
     }
     assert!(refused > 150, "what is owed fills it, and more is refused: {refused}");
     // Outcomes and ends of what was taken always fit.
-    let held: Vec<u64> = journal.owed().keys().copied().collect();
+    let held: Vec<u64> = journal.pending().keys().copied().collect();
     for msg in &held {
         for n in 0..8 {
-            journal.begin(*msg, Micros(n), "a-name-of-usual-length").unwrap();
-            journal.outcome(*msg, true, "");
+            journal.start_attempt(*msg, Micros(n), "a-name-of-usual-length").unwrap();
+            journal.record_outcome(*msg, true, "");
         }
         assert!(on_disk(&dir) <= DISK);
     }
     drop(journal);
     let mut journal = open(&dir);
-    assert_eq!(journal.owed().keys().copied().collect::<Vec<_>>(), held);
+    assert_eq!(journal.pending().keys().copied().collect::<Vec<_>>(), held);
     for msg in held {
         journal.end(msg, Micros(4000));
     }
-    assert!(journal.owed().is_empty());
+    assert!(journal.pending().is_empty());
 }
 
 /// Guards against a print order doubled by a client whose answer was lost, and against one swallowed that never
@@ -176,13 +180,14 @@
     let dir = folder("ids");
     let mut journal = open(&dir);
     for (msg, id) in [(1, "ran"), (2, "never"), (3, "refused")] {
-        journal.take(&[(msg, req(id, 10))]).unwrap();
+        journal.accept(&[(msg, req(id, 10))]).unwrap();
     }
-    journal.begin(1, Micros(200), "s").unwrap();
-    journal.begin(3, Micros(200), "s").unwrap();
-    journal.outcome(3, false, "550 no");
+    journal.start_attempt(1, Micros(200), "s").unwrap();
+    journal.start_attempt(3, Micros(200), "s").unwrap();
+    journal.record_outcome(3, false, "550 no");
     (1..=3).for_each(|msg| journal.end(msg, Micros(300)));
-    let knows = |journal: &Journal, at| ["ran", "never", "refused"].map(|id| journal.knows(id, Micros(at)));
+    let knows =
+        |journal: &Journal, at| ["ran", "never", "refused"].map(|id| journal.knows_id(id, Micros(at)));
     assert_eq!(knows(&journal, 400), [true, false, false]);
     drop(journal);
     let journal = open(&dir);
@@ -194,35 +199,35 @@
 /// gathered and written together.
 #[test]
 fn memory_keeps_what_a_folder_keeps() {
-    use indigohold::store::home::{Home, Memory};
-    let (dir, memory) = (folder("home"), Memory::default());
+    use indigohold::store::storage::{MemoryStorage, Storage};
+    let (dir, memory) = (folder("home"), MemoryStorage::default());
     let steps = |journal: &mut Journal, gathers: bool| {
         for msg in 1..400u64 {
-            assert_eq!(journal.take(&[(msg, req(&format!("m{msg}"), 900))]).unwrap(), 1);
-            journal.begin(msg, Micros(200 + msg), "s-1").unwrap();
+            assert_eq!(journal.accept(&[(msg, req(&format!("m{msg}"), 900))]).unwrap(), 1);
+            journal.start_attempt(msg, Micros(200 + msg), "s-1").unwrap();
             if gathers {
-                journal.gather();
+                journal.begin_batch();
             }
-            journal.outcome(msg, msg % 3 == 0, "busy");
+            journal.record_outcome(msg, msg % 3 == 0, "busy");
             if msg % 7 != 0 {
                 journal.end(msg, Micros(300 + msg));
             }
             if gathers {
-                journal.written();
+                journal.write_batch();
             }
         }
     };
     let mut on_disk = open(&dir);
     steps(&mut on_disk, false);
-    let mut in_memory = Journal::at(Box::new(memory.clone()), DISK, Micros(100)).unwrap();
+    let mut in_memory = Journal::open_storage(Box::new(memory.clone()), DISK, Micros(100)).unwrap();
     steps(&mut in_memory, true);
-    assert_eq!(on_disk.owed(), in_memory.owed());
+    assert_eq!(on_disk.pending(), in_memory.pending());
     drop((on_disk, in_memory));
-    let again = Journal::at(Box::new(memory.clone()), DISK, Micros(100)).unwrap();
-    assert_eq!(open(&dir).owed(), again.owed());
-    assert_eq!(again.owed().len(), 57);
-    assert!(again.knows("m3", Micros(400)) && !again.knows("m4", Micros(400)));
-    memory.lose();
+    let again = Journal::open_storage(Box::new(memory.clone()), DISK, Micros(100)).unwrap();
+    assert_eq!(open(&dir).pending(), again.pending());
+    assert_eq!(again.pending().len(), 57);
+    assert!(again.knows_id("m3", Micros(400)) && !again.knows_id("m4", Micros(400)));
+    memory.clear();
     assert!(memory.names().unwrap().is_empty());
 }
 
@@ -240,21 +245,21 @@
     let dir = folder(name);
     let mut journal = Journal::open(&dir, DISK, Micros(100)).unwrap();
     for msg in 1..=4 {
-        assert_eq!(journal.take(&[(msg, req(&format!("m{msg}"), 30))]).unwrap(), 1);
+        assert_eq!(journal.accept(&[(msg, req(&format!("m{msg}"), 30))]).unwrap(), 1);
     }
-    journal.begin(3, Micros(200), "s-3").unwrap();
+    journal.start_attempt(3, Micros(200), "s-3").unwrap();
     journal.end(3, Micros(210));
-    journal.begin(4, Micros(220), "s-4").unwrap();
-    journal.outcome(4, false, "busy");
+    journal.start_attempt(4, Micros(220), "s-4").unwrap();
+    journal.record_outcome(4, false, "busy");
     drop(journal);
     let mut journal = Journal::open(&dir, DISK, Micros(300)).unwrap();
     for msg in 5..=6 {
-        assert_eq!(journal.take(&[(msg, req(&format!("m{msg}"), 30))]).unwrap(), 1);
+        assert_eq!(journal.accept(&[(msg, req(&format!("m{msg}"), 30))]).unwrap(), 1);
     }
-    journal.begin(5, Micros(400), "s-5").unwrap();
-    journal.outcome(5, true, "");
-    journal.verdict(6, Verdict::GivenUp);
-    journal.begin(1, Micros(500), "s-1").unwrap();
+    journal.start_attempt(5, Micros(400), "s-5").unwrap();
+    journal.record_outcome(5, true, "");
+    journal.record_final_outcome(6, FinalOutcome::GivenUp);
+    journal.start_attempt(1, Micros(500), "s-1").unwrap();
     dir
 }
 
@@ -262,8 +267,11 @@
 /// or uncertain are either gone or in doubt.
 fn none_looks_fresh(journal: &Journal, what: &str) {
     for msg in [1, 3, 5] {
-        if let Some(owed) = journal.owed().get(&msg) {
-            assert!(owed.risk.is_some() || owed.open.is_some(), "{what}: message {msg} looks fresh");
+        if let Some(owed) = journal.pending().get(&msg) {
+            assert!(
+                owed.first_uncertain.is_some() || owed.open_attempt.is_some(),
+                "{what}: message {msg} looks fresh"
+            );
         }
     }
 }
@@ -290,8 +298,8 @@
             let journal = open(&copy);
             let what = format!("segment {n}, bit {bit}");
             none_looks_fresh(&journal, &what);
-            let owed = journal.owed().len();
-            assert!(owed >= 4, "{what}: more than one record is lost: {:?}", journal.owed().keys());
+            let owed = journal.pending().len();
+            assert!(owed >= 4, "{what}: more than one record is lost: {:?}", journal.pending().keys());
             untold += usize::from(journal.damages().0.is_empty());
             drop(journal);
             // The next life knows it too.
@@ -332,7 +340,7 @@
     fs::remove_file(&all[1]).unwrap();
     let journal = open(&dir);
     assert!(!journal.damages().0.is_empty(), "a segment is missing");
-    assert!(journal.owed().values().all(|o| o.risk.is_some()), "all of them may have run");
+    assert!(journal.pending().values().all(|o| o.first_uncertain.is_some()), "all of them may have run");
 }
 
 /// What is damaged is kept aside once, bounded, and counts as taken room.
@@ -349,7 +357,7 @@
     };
     let first = open(&dir);
     assert_eq!((first.damages().0.len(), aside()), (1, 1));
-    assert!(first.on_disk() >= on_disk(&dir), "{} of {}", first.on_disk(), on_disk(&dir));
+    assert!(first.disk_bytes() >= on_disk(&dir), "{} of {}", first.disk_bytes(), on_disk(&dir));
     drop(first);
     drop(open(&dir));
     assert_eq!(aside(), 1);
@@ -358,12 +366,12 @@
 /// Each life has a number of its own, also where the last one's file can't be read.
 #[test]
 fn a_folder_has_one_owner_and_each_a_higher_number() {
-    use indigohold::store::owner::{claim, Refusal};
+    use indigohold::store::owner::{claim, ClaimError};
     let dir = folder("owner");
     let first = claim(&dir, Micros(1_000_000), 0).unwrap();
     assert_eq!(first.claim.incarnation, 1);
     match claim(&dir, Micros(2_000_000), 0) {
-        Err(Refusal::Owned(Some(by))) => assert_eq!(by, first.claim),
+        Err(ClaimError::Owned(Some(by))) => assert_eq!(by, first.claim),
         other => panic!("{other:?}"),
     }
     drop(first);
--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,7 +1,7 @@
 //! What the journal makes of a call without an outcome when another process follows: after a restart it may have run, after a
 //! hand-over the outcome may still come.
 
-use indigohold::store::{Journal, Req, Succession};
+use indigohold::store::{Journal, Req, StartMode};
 use indigohold::Micros;
 use std::path::Path;
 use std::sync::Arc;
@@ -21,19 +21,19 @@
         due: Micros(999),
         head: "key".into(),
         body: vec![7; bytes].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     })
 }
 
-fn open(dir: &Path, succession: Succession) -> Journal {
+fn open(dir: &Path, succession: StartMode) -> Journal {
     Journal::open_as(dir, DISK, NOW, 0, succession).unwrap()
 }
 
 /// A process that ends with a call out.
 fn call_out(dir: &Path) {
-    let mut journal = open(dir, Succession::Restart);
-    journal.take(&[(1, req("m1", 10))]).unwrap();
-    journal.begin(1, CALLED, "s-1").unwrap();
+    let mut journal = open(dir, StartMode::Restart);
+    journal.accept(&[(1, req("m1", 10))]).unwrap();
+    journal.start_attempt(1, CALLED, "s-1").unwrap();
 }
 
 fn call() -> Option<(Micros, String)> {
@@ -43,7 +43,7 @@
 /// Has the oldest segments written anew.
 fn fill(journal: &mut Journal, first: u64) {
     for msg in first..first + 400 {
-        journal.take(&[(msg, req(&format!("x{msg}"), 900))]).unwrap();
+        journal.accept(&[(msg, req(&format!("x{msg}"), 900))]).unwrap();
         journal.end(msg, NOW);
     }
 }
@@ -54,15 +54,18 @@
         let dir = tempdir().unwrap();
         call_out(dir.path());
         for life in 1..4 {
-            let mut journal = open(dir.path(), Succession::Restart);
-            journal.outcome(1, false, "refused");
+            let mut journal = open(dir.path(), StartMode::Restart);
+            journal.record_outcome(1, false, "refused");
             if rewritten {
                 fill(&mut journal, life * 1_000);
             }
-            assert_eq!(journal.owed()[&1].risk, call(), "life {life}");
+            assert_eq!(journal.pending()[&1].first_uncertain, call(), "life {life}");
         }
-        let journal = open(dir.path(), Succession::Restart);
-        assert_eq!((journal.owed()[&1].risk.clone(), journal.owed()[&1].open.clone()), (call(), None));
+        let journal = open(dir.path(), StartMode::Restart);
+        assert_eq!(
+            (journal.pending()[&1].first_uncertain.clone(), journal.pending()[&1].open_attempt.clone()),
+            (call(), None)
+        );
     }
 }
 
@@ -71,15 +74,22 @@
     for (may_have_run, risk) in [(None, call()), (Some(true), call()), (Some(false), None)] {
         let dir = tempdir().unwrap();
         call_out(dir.path());
-        let mut journal = open(dir.path(), Succession::HandOver);
-        assert_eq!((journal.owed()[&1].risk.clone(), journal.owed()[&1].open.clone()), (None, call()));
-        may_have_run.into_iter().for_each(|ran| journal.outcome(1, ran, ""));
+        let mut journal = open(dir.path(), StartMode::Handover);
+        assert_eq!(
+            (journal.pending()[&1].first_uncertain.clone(), journal.pending()[&1].open_attempt.clone()),
+            (None, call())
+        );
+        may_have_run.into_iter().for_each(|ran| journal.record_outcome(1, ran, ""));
         // Its segment tells the next process how this one came.
-        journal.take(&[(2, req("m2", 10))]).unwrap();
+        journal.accept(&[(2, req("m2", 10))]).unwrap();
         drop(journal);
-        let journal = open(dir.path(), Succession::Restart);
-        let owed = &journal.owed()[&1];
-        assert_eq!((owed.risk.clone(), owed.open.clone()), (risk, None), "{may_have_run:?}");
+        let journal = open(dir.path(), StartMode::Restart);
+        let owed = &journal.pending()[&1];
+        assert_eq!(
+            (owed.first_uncertain.clone(), owed.open_attempt.clone()),
+            (risk, None),
+            "{may_have_run:?}"
+        );
     }
 }
 
@@ -87,10 +97,13 @@
 fn a_hand_over_does_not_open_what_a_restart_before_it_has_settled() {
     let dir = tempdir().unwrap();
     call_out(dir.path());
-    drop(open(dir.path(), Succession::Restart));
-    let mut journal = open(dir.path(), Succession::HandOver);
-    assert_eq!((journal.owed()[&1].risk.clone(), journal.owed()[&1].open.clone()), (call(), None));
-    journal.outcome(1, false, "");
+    drop(open(dir.path(), StartMode::Restart));
+    let mut journal = open(dir.path(), StartMode::Handover);
+    assert_eq!(
+        (journal.pending()[&1].first_uncertain.clone(), journal.pending()[&1].open_attempt.clone()),
+        (call(), None)
+    );
+    journal.record_outcome(1, false, "");
     drop(journal);
-    assert_eq!(open(dir.path(), Succession::Restart).owed()[&1].risk, call());
+    assert_eq!(open(dir.path(), StartMode::Restart).pending()[&1].first_uncertain, call());
 }
--- a/tests/support/faulty_home.rs
+++ b/tests/support/faulty_storage.rs
@@ -3,7 +3,7 @@
 // Each test file uses a part of it.
 #![allow(dead_code)]
 
-use indigohold::store::home::{Home, Memory};
+use indigohold::store::storage::{MemoryStorage, Storage};
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
@@ -41,14 +41,14 @@
 
 /// Clones share the files and the script.
 #[derive(Clone, Default)]
-pub struct FaultyHome {
-    pub files: Memory,
+pub struct FaultyStorage {
+    pub files: MemoryStorage,
     state: Arc<Mutex<State>>,
 }
 
-impl FaultyHome {
-    pub fn new(script: Script) -> FaultyHome {
-        let home = FaultyHome::default();
+impl FaultyStorage {
+    pub fn new(script: Script) -> FaultyStorage {
+        let home = FaultyStorage::default();
         home.state().script = script;
         home
     }
@@ -99,7 +99,7 @@
     }
 }
 
-impl Home for FaultyHome {
+impl Storage for FaultyStorage {
     fn names(&self) -> io::Result<Vec<String>> {
         self.files.names()
     }
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -7,7 +7,7 @@
 use common::{class, keyed, settings, S};
 use indigohold::core::handover::HandoverState;
 use indigohold::core::*;
-use indigohold::store::{Journal, Succession};
+use indigohold::store::{Journal, StartMode};
 use indigohold::{Effect, Micros};
 use std::path::Path;
 use tempfile::tempdir;
@@ -30,7 +30,7 @@
 fn courier_after(dir: &Path, now: Micros, handed_over: Option<HandoverState>) -> Courier {
     let mut settings = settings();
     settings.classes = vec![class(keyed()), class(Effect::Unsafe)];
-    let succession = if handed_over.is_some() { Succession::HandOver } else { Succession::Restart };
+    let succession = if handed_over.is_some() { StartMode::Handover } else { StartMode::Restart };
     let journal = Journal::open_as(dir, DISK, now, 0, succession).unwrap();
     let options = Options { handed_over, ..Options::default() };
     let courier = Courier::new(settings, 1, Clock::at(now), journal, options);
@@ -90,7 +90,7 @@
         due: DUE,
         head: "key".into(),
         body: [1, 2][..].into(),
-        keep_id: Micros(0),
+        keep_id_until: Micros(0),
     };
     let Answer::Taken(msg) = courier.report(Report::Req(req)) else { panic!("the req must be accepted") };
     courier.report(Report::Answered(msg));
@@ -100,7 +100,7 @@
 
 fn is_given_up(courier: &Courier) -> bool {
     match next_fetch_or_notice(courier) {
-        Order::Notice(notice) => notice.verdict == Verdict::GivenUp,
+        Order::Notice(notice) => notice.verdict == FinalOutcome::GivenUp,
         Order::Fetch(_) => false,
         other => panic!("{other:?}"),
     }
