--- a/tests/support/crowd.rs
+++ b/tests/support/crowd.rs
@@ -51,10 +51,8 @@
 
     /// How often each message was delivered.
     pub fn delivered(&self) -> BTreeMap<String, usize> {
-        let mut counts = BTreeMap::new();
-        let calls = self.endpoint.calls.lock().unwrap();
-        calls.iter().for_each(|c| *counts.entry(c.header("req-id").unwrap().to_owned()).or_default() += 1);
-        counts
+        let call_counts = self.endpoint.call_counts.lock().unwrap();
+        call_counts.iter().map(|(id, count)| (id.clone(), *count)).collect()
     }
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -10,6 +10,7 @@
 pub mod partner;
 pub mod scripted;
 
+use std::collections::HashMap;
 use std::fs;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -258,6 +259,9 @@
 pub struct Endpoint {
     pub addr: SocketAddr,
     pub calls: Arc<Mutex<Vec<Http>>>,
+    /// Calls by message id. Counting them in `calls` for each answer takes longer with every call: after some
+    /// thousand of them the endpoint is slower than the couriers wait.
+    pub call_counts: Arc<Mutex<HashMap<String, usize>>>,
 }
 
 pub fn endpoint(act: impl Fn(&str, usize) -> Act + Send + Sync + 'static) -> Endpoint {
@@ -272,19 +276,22 @@
     act: impl Fn(&str, usize) -> Act + Send + Sync + 'static,
 ) -> Endpoint {
     let (calls, act) = (Arc::new(Mutex::new(Vec::<Http>::new())), Arc::new(act));
-    let all = calls.clone();
+    let call_counts = Arc::new(Mutex::new(HashMap::<String, usize>::new()));
+    let (all, all_counts) = (calls.clone(), call_counts.clone());
     thread::spawn(move || {
         for stream in std::iter::from_fn(accept) {
-            let (calls, act) = (all.clone(), act.clone());
+            let (calls, call_counts, act) = (all.clone(), all_counts.clone(), act.clone());
             thread::spawn(move || {
                 let mut writer = stream.try_clone().unwrap();
                 let mut reader = BufReader::new(stream);
                 while let Some(call) = read_http(&mut reader) {
                     let id = call.header("req-id").unwrap().to_owned();
+                    calls.lock().unwrap().push(call);
                     let nth = {
-                        let mut calls = calls.lock().unwrap();
-                        calls.push(call);
-                        calls.iter().filter(|c| c.header("req-id") == Some(&id)).count()
+                        let mut call_counts = call_counts.lock().unwrap();
+                        let count = call_counts.entry(id.clone()).or_default();
+                        *count += 1;
+                        *count
                     };
                     match act(&id, nth) {
                         Act::Answer(text) => drop(writer.write_all(text.as_bytes())),
@@ -295,12 +302,12 @@
             });
         }
     });
-    Endpoint { addr, calls }
+    Endpoint { addr, calls, call_counts }
 }
 
 impl Endpoint {
     pub fn count(&self, id: &str) -> usize {
-        self.calls.lock().unwrap().iter().filter(|c| c.header("req-id") == Some(id)).count()
+        self.call_counts.lock().unwrap().get(id).copied().unwrap_or(0)
     }
 }
 
