--- a/src/admin/client.rs
+++ b/src/admin/client.rs
@@ -1,6 +1,6 @@
-//! The door's calls from the command line.
+//! Sends a command to the admin server, for the command line.
 
-use super::Call;
+use super::AdminCommand;
 use crate::config::Paths;
 use crate::net::ask::shape::AnswerShape;
 use crate::net::conn;
@@ -8,55 +8,57 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An answer is owed within 1 s; a machine that is gone says nothing.
-const PATIENCE: Duration = Duration::from_secs(3);
-/// A question to the fleet waits 16 s at the most.
-const FLEET: Duration = Duration::from_secs(20);
-const ANSWER_MOST: usize = 8 << 20;
+/// The server answers within 1 s; a machine that is down does not answer at all.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
+/// A question to the fleet is answered within 16 s.
+const FLEET_ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+const MAX_ANSWER_BYTES: usize = 8 << 20;
 
-/// Makes one call and prints what came; `false`: it was a no.
-pub fn run(paths: &Paths, call: &Call) -> Result<bool, String> {
-    let door = door(paths)?;
-    let answer = self::call(door, call, Instant::now() + PATIENCE).map_err(|e| format!("{door}: {e}"))?;
+/// Sends one command and prints the answer. Returns `false` if the server refused it.
+pub fn run(paths: &Paths, command: &AdminCommand) -> Result<bool, String> {
+    let addr = server_addr(paths)?;
+    let answer = send(addr, command, Instant::now() + ANSWER_TIMEOUT).map_err(|e| format!("{addr}: {e}"))?;
     print!("{answer}");
     Ok(!answer.starts_with("400"))
 }
 
-fn door(paths: &Paths) -> Result<SocketAddr, String> {
-    let door = match &paths.control {
+fn server_addr(paths: &Paths) -> Result<SocketAddr, String> {
+    let addr = match &paths.control {
         Some(text) => Some(text.parse().map_err(|e| format!("control: {text:?}: {e}"))?),
-        None => paths.read()?.door()?,
+        None => paths.read()?.admin_addr()?,
     };
-    door.ok_or_else(|| {
-        "no door: neither --control nor NODE_CONTROL nor `control` in the configuration".into()
+    addr.ok_or_else(|| {
+        "no address of the admin server: neither --control nor NODE_CONTROL nor `control` in the configuration"
+            .into()
     })
 }
 
-/// Asks the fleet; the error has an exit code and words.
-pub fn ask(paths: &Paths, question: &Call) -> Result<AnswerShape, (u8, String)> {
+/// Asks the fleet a question. An error consists of the exit code and a message.
+pub fn ask(paths: &Paths, question: &AdminCommand) -> Result<AnswerShape, (u8, String)> {
     const UNREACHED: u8 = 1;
     const REFUSED: u8 = 3;
-    let door = door(paths).map_err(|words| (UNREACHED, words))?;
-    let until = Instant::now() + FLEET;
-    let answer = call(door, question, until).map_err(|e| (UNREACHED, format!("{door}: {e}")))?;
-    if let Some(words) = answer.strip_prefix("400 ") {
-        return Err((REFUSED, words.trim_end().to_owned()));
+    let addr = server_addr(paths).map_err(|message| (UNREACHED, message))?;
+    let deadline = Instant::now() + FLEET_ANSWER_TIMEOUT;
+    let answer = send(addr, question, deadline).map_err(|e| (UNREACHED, format!("{addr}: {e}")))?;
+    if let Some(message) = answer.strip_prefix("400 ") {
+        return Err((REFUSED, message.trim_end().to_owned()));
     }
-    let line = answer.strip_suffix("\nEOF\n").ok_or((UNREACHED, format!("{door}: the answer has no end")))?;
-    serde_json::from_str(line).map_err(|e| (UNREACHED, format!("{door}: {e}")))
+    let line =
+        answer.strip_suffix("\nEOF\n").ok_or((UNREACHED, format!("{addr}: the answer is incomplete")))?;
+    serde_json::from_str(line).map_err(|e| (UNREACHED, format!("{addr}: {e}")))
 }
 
-fn call(door: SocketAddr, call: &Call, until: Instant) -> io::Result<String> {
-    let stream = conn::connect(door, until)?;
-    conn::write_all(&stream, format!("{call}\n").as_bytes(), until)?;
+fn send(addr: SocketAddr, command: &AdminCommand, deadline: Instant) -> io::Result<String> {
+    let stream = conn::connect(addr, deadline)?;
+    conn::write_all(&stream, format!("{command}\n").as_bytes(), deadline)?;
     let (mut answer, mut buf) = (Vec::new(), [0; 4096]);
     loop {
-        match conn::read(&stream, &mut buf, until)? {
+        match conn::read(&stream, &mut buf, deadline)? {
             0 => break,
             n => answer.extend_from_slice(&buf[..n]),
         }
-        if answer.len() > ANSWER_MOST {
-            return Err(io::Error::other("the answer has no end"));
+        if answer.len() > MAX_ANSWER_BYTES {
+            return Err(io::Error::other(format!("the answer is longer than {MAX_ANSWER_BYTES} bytes")));
         }
     }
     String::from_utf8(answer).map_err(io::Error::other)
--- a/src/admin/figures.rs
+++ b/src/admin/metrics.rs
@@ -1,19 +1,20 @@
-//! The figures that operators read: what became of messages since the process began, by class, and how things stand.
+//! The metrics that the admin server reports: how many messages have ended since the start of the process, by class and by
+//! how they ended, and the present levels.
 //!
-//! Each message moves one count, once, where the core lets go of it:
+//! Each message is counted once, when the core removes it:
 //!
-//! | end | count |
+//! | end of the message | counter |
 //! | --- | --- |
-//! | an endpoint said 200 (delivered) | `completed` |
-//! | turned away when handed in: 503 or 429, a drain, no room | `rejected` |
-//! | handed back by a notice or a bounce that says so | `rejected` |
-//! | given up; its notice or bounce has been taken | `failed` |
-//! | an endpoint said that it is over (410) | `failed` |
+//! | an endpoint answered 200 (delivered) | `completed` |
+//! | refused when submitted: 503 or 429, a drain, no capacity | `rejected` |
+//! | returned to its sender by a notice or a bounce that says so | `rejected` |
+//! | given up, and the notice or bounce was accepted | `failed` |
+//! | an endpoint answered that the message is obsolete (410) | `failed` |
 //! | no such destination (404) | `failed` |
-//! | its client went before it was told that it is taken on | none |
-//! | handed in again while it is owed, or recognised after its end | none |
+//! | the client disconnected before it was told that the message is accepted | none |
+//! | submitted again while it is pending, or recognised after its end | none |
 //!
-//! A message whose end is decided and not told yet is still `pending`.
+//! A message whose end is decided but not reported yet still counts as `pending`.
 
 use crate::core::attempt_log::AttemptCounts;
 use serde_json::{Map, Value};
@@ -25,33 +26,33 @@
 pub enum Ended {
     /// Delivered.
     Completed,
-    /// Refused, or handed back.
+    /// Refused when submitted, or returned to its sender.
     Rejected,
-    /// Failed.
+    /// Given up, obsolete, or without a destination.
     Failed,
 }
 
-/// Counts and levels, all of one moment.
+/// Counters and levels at one point in time.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Figures {
-    /// By how they ended, then by class.
+pub struct Metrics {
+    /// Ended messages, by [`Ended`], then by class.
     ended: [Vec<u64>; 3],
-    /// Delivered, of all classes.
+    /// Delivered messages of all classes.
     delivered: u64,
-    /// Messages taken on and not ended.
+    /// Messages that were accepted and have not ended.
     pub pending: u64,
-    /// Endpoints in the list.
+    /// Listed endpoints.
     pub members: u64,
-    /// Those of them that get nothing now, by hand or by choice.
+    /// Those of them to which nothing is sent now, because operators excluded them or the core avoids them.
     pub unavailable: u64,
-    /// The core would call itself ready.
+    /// Whether the core is ready.
     pub ready: bool,
-    /// What became of attempts.
+    /// Attempts by how they ended.
     pub attempts: AttemptCounts,
 }
 
-impl Figures {
-    /// A message has ended.
+impl Metrics {
+    /// Counts a message that has ended.
     pub fn count(&mut self, ended: Ended, class: u16) {
         let counts = &mut self.ended[ended as usize];
         let class = usize::from(class);
@@ -62,20 +63,21 @@
         self.delivered += u64::from(ended == Ended::Completed);
     }
 
-    /// How many have ended so.
+    /// Number of messages of a class that have ended this way.
     pub fn ended(&self, ended: Ended, class: u16) -> u64 {
         self.ended[ended as usize].get(usize::from(class)).copied().unwrap_or(0)
     }
 
-    /// As operators read them; `written`: messages written whole to endpoints; `shared`: what the fleet believes.
+    /// The metrics as the admin server reports them. `written` is the number of messages written in full to endpoints, and
+    /// `shared` the shared health of the fleet.
     pub fn json(&self, classes: &[String], written: u64, shared: Option<Value>) -> String {
         let by_class = |ended: Ended| {
             let mut counts = Map::new();
-            // One name may stand for several classes.
+            // Several classes may have the same name.
             for (class, name) in classes.iter().enumerate().filter(|(_, name)| !name.is_empty()) {
-                let more = self.ended(ended, class as u16);
+                let added = self.ended(ended, class as u16);
                 let before = counts.get(name).and_then(Value::as_u64).unwrap_or(0);
-                counts.insert(name.clone(), Value::from(before + more));
+                counts.insert(name.clone(), Value::from(before + added));
             }
             Value::Object(counts)
         };
@@ -94,37 +96,37 @@
     }
 }
 
-/// Where the core's owner puts them and others read them. The lock is held for a copy, never over anything that waits.
+/// The metrics as the core's owner last published them, for other threads. The lock is held only for a copy.
 #[derive(Debug, Default)]
-pub struct Board {
-    figures: Mutex<Figures>,
+pub struct PublishedMetrics {
+    metrics: Mutex<Metrics>,
     written: AtomicU64,
     delivered: AtomicU64,
 }
 
-impl Board {
-    /// The figures as last published.
-    pub fn read(&self) -> Figures {
-        self.figures.lock().unwrap_or_else(PoisonError::into_inner).clone()
+impl PublishedMetrics {
+    /// The metrics as last published.
+    pub fn read(&self) -> Metrics {
+        self.metrics.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Puts new ones in their place.
-    pub fn publish(&self, figures: &Figures) {
-        self.delivered.store(figures.delivered, Ordering::Relaxed);
-        self.figures.lock().unwrap_or_else(PoisonError::into_inner).clone_from(figures);
+    /// Replaces the published metrics.
+    pub fn publish(&self, metrics: &Metrics) {
+        self.delivered.store(metrics.delivered, Ordering::Relaxed);
+        self.metrics.lock().unwrap_or_else(PoisonError::into_inner).clone_from(metrics);
     }
 
-    /// How many messages have been delivered, read without a lock.
+    /// Number of messages delivered, read without a lock.
     pub fn delivered(&self) -> u64 {
         self.delivered.load(Ordering::Relaxed)
     }
 
-    /// A message's last byte has been written to an endpoint.
-    pub fn wrote(&self) {
+    /// Counts a message whose last byte was written to an endpoint.
+    pub fn count_written(&self) {
         self.written.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many were.
+    /// Number of messages written in full to endpoints.
     pub fn written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
@@ -135,21 +137,21 @@
     use super::*;
 
     #[test]
-    fn classes_are_told_by_name_and_all_of_them() {
-        let mut figures = Figures { pending: 3, members: 5, unavailable: 1, ..Figures::default() };
-        figures.count(Ended::Completed, 2);
-        figures.count(Ended::Completed, 0);
-        figures.count(Ended::Failed, 1);
+    fn every_class_is_reported_by_its_name() {
+        let mut metrics = Metrics { pending: 3, members: 5, unavailable: 1, ..Metrics::default() };
+        metrics.count(Ended::Completed, 2);
+        metrics.count(Ended::Completed, 0);
+        metrics.count(Ended::Failed, 1);
         let names = ["order".to_owned(), "status".to_owned(), "order".to_owned()];
-        let read: Value = serde_json::from_str(&figures.json(&names, 9, None)).unwrap();
+        let read: Value = serde_json::from_str(&metrics.json(&names, 9, None)).unwrap();
         assert_eq!(read["completed"], serde_json::json!({"order": 2, "status": 0}));
         assert_eq!(read["rejected"], serde_json::json!({"order": 0, "status": 0}));
         assert_eq!(read["failed"], serde_json::json!({"order": 0, "status": 1}));
         assert_eq!((&read["upstream_requests"], &read["pending"]), (&9.into(), &3.into()));
         assert_eq!((&read["members"], &read["members_unavailable"]), (&5.into(), &1.into()));
         assert!(read.get("shared").is_none());
-        let board = Board::default();
-        board.publish(&figures);
-        assert_eq!(board.delivered(), 2);
+        let published = PublishedMetrics::default();
+        published.publish(&metrics);
+        assert_eq!(published.delivered(), 2);
     }
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,10 +1,11 @@
-//! The operators' door: one call a line, one line a connection, answered at once by what the core has published. What a
-//! call means is here and in [`figures`] and [`hand`]; the sockets are in [`door`], the command line's side in [`client`].
+//! The admin server: each connection carries one line with one command, which is answered at once from what the core has
+//! published. This module, [`metrics`] and [`overrides`] implement the commands, [`server`] the sockets, and [`client`] the
+//! client for the command line.
 
 pub mod client;
-pub mod door;
-pub mod figures;
-pub mod hand;
+pub mod metrics;
+pub mod overrides;
+pub mod server;
 
 use crate::api::Micros;
 use crate::ask::Kind;
@@ -13,55 +14,59 @@
 use crate::net::ask::{Asker, Tell};
 use crate::net::peers::published::Published;
 use crate::register::exclusions::MAX_NAME_BYTES;
-use figures::Board;
-use hand::Hand;
+use metrics::PublishedMetrics;
+use overrides::EndpointOverrides;
 use std::fmt;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The longest line that is read: the longest call, and room for spaces.
-pub const LINE_MOST: usize = MAX_NAME_BYTES + 64;
+/// The longest line that is accepted: the longest command and some spaces.
+pub const MAX_LINE_BYTES: usize = MAX_NAME_BYTES + 64;
 
-const NO_SUCH: &str = "no such call; there are readyz, telemetry, exclude ID and include ID";
+const UNKNOWN_COMMAND: &str = "no such call; there are readyz, telemetry, exclude ID and include ID";
 
-/// What operators may ask.
+/// A command to the admin server.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Call {
-    /// Whether this process takes clients.
+pub enum AdminCommand {
+    /// Asks whether this process serves clients.
     Ready,
-    /// The figures.
+    /// Asks for the metrics.
     Telemetry,
-    /// Leave this endpoint out.
+    /// Excludes an endpoint.
     Exclude(String),
-    /// Put it back.
+    /// Includes an excluded endpoint again.
     Include(String),
-    /// What this courier alone has to say to a question: its kind and what exactly.
+    /// Asks this courier alone a question, by its kind and subject.
     Part(Kind, String),
-    /// What the whole fleet has.
+    /// Asks the whole fleet a question.
     Ask(Kind, String),
 }
 
-impl fmt::Display for Call {
+impl fmt::Display for AdminCommand {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Call::Ready => f.write_str("readyz"),
-            Call::Telemetry => f.write_str("telemetry"),
-            Call::Exclude(id) => write!(f, "exclude {id}"),
-            Call::Include(id) => write!(f, "include {id}"),
-            Call::Part(kind, subject) => f.write_str(format!("part {} {subject}", word(*kind)).trim_end()),
-            Call::Ask(kind, subject) => f.write_str(format!("ask {} {subject}", word(*kind)).trim_end()),
+            AdminCommand::Ready => f.write_str("readyz"),
+            AdminCommand::Telemetry => f.write_str("telemetry"),
+            AdminCommand::Exclude(id) => write!(f, "exclude {id}"),
+            AdminCommand::Include(id) => write!(f, "include {id}"),
+            AdminCommand::Part(kind, subject) => {
+                f.write_str(format!("part {} {subject}", word(*kind)).trim_end())
+            }
+            AdminCommand::Ask(kind, subject) => {
+                f.write_str(format!("ask {} {subject}", word(*kind)).trim_end())
+            }
         }
     }
 }
 
-impl Call {
-    /// The call of a line, its end taken off; the error says what is wrong with it.
-    pub fn parse(line: &[u8]) -> Result<Call, String> {
-        Call::read(line, true)
+impl AdminCommand {
+    /// Parses a line without its line end. The error says what is wrong with it.
+    pub fn parse(line: &[u8]) -> Result<AdminCommand, String> {
+        AdminCommand::parse_line(line, true)
     }
 
-    /// The same; `fleet`: there are questions to the fleet. If not, no word of them is known.
-    fn read(line: &[u8], fleet: bool) -> Result<Call, String> {
+    /// Parses a line. Without `fleet`, questions to the fleet are off and their commands unknown.
+    fn parse_line(line: &[u8], fleet: bool) -> Result<AdminCommand, String> {
         let line = std::str::from_utf8(line).map_err(|_| "the line is no text".to_owned())?;
         if line.chars().any(|c| c.is_control() && c != '\t') {
             return Err("the line is no text".into());
@@ -73,96 +78,96 @@
         };
         match words[..] {
             [] => Err("the line is empty".into()),
-            ["readyz"] => Ok(Call::Ready),
-            ["telemetry"] => Ok(Call::Telemetry),
-            ["exclude", name] => id(name).map(Call::Exclude),
-            ["include", name] => id(name).map(Call::Include),
+            ["readyz"] => Ok(AdminCommand::Ready),
+            ["telemetry"] => Ok(AdminCommand::Telemetry),
+            ["exclude", name] => id(name).map(AdminCommand::Exclude),
+            ["include", name] => id(name).map(AdminCommand::Include),
             ["readyz" | "telemetry", ..] => Err(format!("{} takes no further word", words[0])),
             ["exclude" | "include", ..] => Err(format!("{} takes one id", words[0])),
             ["part" | "ask", name, ref subject @ ..] if fleet => {
                 let kind = kind(name).ok_or_else(|| format!("{} is no kind of question", plain(name, 32)))?;
-                let call = if words[0] == "part" { Call::Part } else { Call::Ask };
-                Ok(call(kind, subject.join(" ")))
+                let command = if words[0] == "part" { AdminCommand::Part } else { AdminCommand::Ask };
+                Ok(command(kind, subject.join(" ")))
             }
             ["part" | "ask"] if fleet => Err(format!("{} takes a kind of question", words[0])),
-            _ => Err(NO_SUCH.into()),
+            _ => Err(UNKNOWN_COMMAND.into()),
         }
     }
 }
 
-/// What the door answers from. Nothing here waits for the core's owner.
-pub struct Desk {
-    /// What the core has published.
-    pub board: Arc<Board>,
-    /// Endpoints that are left out.
-    pub hand: Arc<Hand>,
+/// Executes commands. Nothing here waits for the core's owner.
+pub struct CommandHandler {
+    /// The metrics that the core publishes.
+    pub metrics: Arc<PublishedMetrics>,
+    /// The excluded endpoints.
+    pub overrides: Arc<EndpointOverrides>,
     /// Names of the classes, by position.
     pub classes: Vec<String>,
-    /// This process takes clients.
+    /// Whether this process serves clients.
     pub serving: Arc<AtomicBool>,
-    /// Questions to the fleet; `None`: off, and there are no such calls.
+    /// Questions to the fleet. If `None`, they are off and their commands unknown.
     pub fleet: Option<Asker>,
-    /// What the fleet believes; `None`: nothing is shared.
+    /// Shared health of the fleet. If `None`, nothing is shared.
     pub shared: Option<Arc<Published>>,
-    /// What time it is.
+    /// The clock.
     pub clock: Clock,
 }
 
-/// What a line comes to.
-pub enum Heard {
-    /// The answer, whole.
+/// The reply to a line.
+pub enum Reply {
+    /// The whole answer.
     Now(String),
-    /// It comes by the `tell` that was handed over; not after this moment, seen from now.
+    /// The answer is passed to the callback within this time.
     Later(Micros),
 }
 
-impl Desk {
-    /// The answer to a line, or that it comes later.
-    pub fn hear(&self, line: &[u8], tell: impl FnOnce() -> Tell) -> Heard {
-        match (Call::read(line, self.fleet.is_some()), &self.fleet) {
-            (Ok(Call::Part(kind, subject)), Some(fleet)) => {
-                fleet.part(kind, subject, tell());
-                Heard::Later(fleet.hard(kind))
+impl CommandHandler {
+    /// Executes a line. `callback` is called for a command that is answered later.
+    pub fn handle(&self, line: &[u8], callback: impl FnOnce() -> Tell) -> Reply {
+        match (AdminCommand::parse_line(line, self.fleet.is_some()), &self.fleet) {
+            (Ok(AdminCommand::Part(kind, subject)), Some(fleet)) => {
+                fleet.part(kind, subject, callback());
+                Reply::Later(fleet.hard(kind))
             }
-            (Ok(Call::Ask(kind, subject)), Some(fleet)) => {
-                fleet.ask(kind, subject, tell());
-                Heard::Later(fleet.hard(kind))
+            (Ok(AdminCommand::Ask(kind, subject)), Some(fleet)) => {
+                fleet.ask(kind, subject, callback());
+                Reply::Later(fleet.hard(kind))
             }
-            (Ok(call), _) => Heard::Now(self.answer(call)),
-            (Err(what), _) => Heard::Now(refusal(&what)),
+            (Ok(command), _) => Reply::Now(self.answer(command)),
+            (Err(message), _) => Reply::Now(refusal(&message)),
         }
     }
 
-    fn answer(&self, call: Call) -> String {
-        let done = match &call {
-            Call::Ready => match (self.serving.load(Ordering::SeqCst), self.board.read().ready) {
+    fn answer(&self, command: AdminCommand) -> String {
+        let result = match &command {
+            AdminCommand::Ready => match (self.serving.load(Ordering::SeqCst), self.metrics.read().ready) {
                 (true, true) => Ok("this process takes clients".to_owned()),
                 (false, _) => Err("this process takes no clients".to_owned()),
                 (true, false) => Err("no endpoint is known yet".to_owned()),
             },
-            Call::Telemetry => {
-                let figures = self.board.read();
+            AdminCommand::Telemetry => {
+                let metrics = self.metrics.read();
                 let shared = self.shared.as_ref().map(|shared| shared.json(self.clock.now()));
-                return format!("{}\nEOF\n", figures.json(&self.classes, self.board.written(), shared));
+                return format!("{}\nEOF\n", metrics.json(&self.classes, self.metrics.written(), shared));
             }
-            Call::Exclude(id) => self.hand.exclude(id),
-            Call::Include(id) => self.hand.include(id),
-            Call::Part(..) | Call::Ask(..) => Err(NO_SUCH.to_owned()),
+            AdminCommand::Exclude(id) => self.overrides.exclude(id),
+            AdminCommand::Include(id) => self.overrides.include(id),
+            AdminCommand::Part(..) | AdminCommand::Ask(..) => Err(UNKNOWN_COMMAND.to_owned()),
         };
-        if matches!(call, Call::Exclude(_) | Call::Include(_)) {
-            let (yes, what) = (done.is_ok(), done.as_ref().unwrap_or_else(|e| e));
-            tracing::info!(target: "door", yes, "{call}: {what}");
+        if matches!(command, AdminCommand::Exclude(_) | AdminCommand::Include(_)) {
+            let (yes, message) = (result.is_ok(), result.as_ref().unwrap_or_else(|e| e));
+            tracing::info!(target: "door", yes, "{command}: {message}");
         }
-        match done {
-            Ok(what) => format!("200 {what}\n"),
-            Err(what) => refusal(&what),
+        match result {
+            Ok(message) => format!("200 {message}\n"),
+            Err(message) => refusal(&message),
         }
     }
 }
 
-/// The answer to what can't be done.
-pub fn refusal(what: &str) -> String {
-    format!("400 {what}\n")
+/// The answer to a command that can't be executed.
+pub fn refusal(message: &str) -> String {
+    format!("400 {message}\n")
 }
 
 #[cfg(test)]
@@ -170,12 +175,15 @@
     use super::*;
 
     #[test]
-    fn a_line_is_a_call_or_is_told_what_is_wrong_with_it() {
-        assert_eq!(Call::parse(b"readyz"), Ok(Call::Ready));
-        assert_eq!(Call::parse(b" exclude\t s-1 \r".trim_ascii()), Ok(Call::Exclude("s-1".into())));
-        assert_eq!(Call::parse(b"include x"), Ok(Call::Include("x".into())));
+    fn a_line_is_a_command_or_its_error_says_what_is_wrong() {
+        assert_eq!(AdminCommand::parse(b"readyz"), Ok(AdminCommand::Ready));
+        assert_eq!(
+            AdminCommand::parse(b" exclude\t s-1 \r".trim_ascii()),
+            Ok(AdminCommand::Exclude("s-1".into()))
+        );
+        assert_eq!(AdminCommand::parse(b"include x"), Ok(AdminCommand::Include("x".into())));
         let long = format!("exclude {}", "x".repeat(MAX_NAME_BYTES + 1));
-        for (line, word) in [
+        for (line, expected) in [
             (&b""[..], "empty"),
             (b"   ", "empty"),
             (b"readyz now", "no further"),
@@ -186,15 +194,21 @@
             (b"exclude a\0b", "no text"),
             (long.as_bytes(), "longer"),
         ] {
-            let said = Call::parse(line).unwrap_err();
-            assert!(said.contains(word), "{line:?}: {said}");
+            let error = AdminCommand::parse(line).unwrap_err();
+            assert!(error.contains(expected), "{line:?}: {error}");
         }
-        assert!(Call::parse(b"ask").unwrap_err().contains("takes a kind"));
-        assert!(Call::parse(b"part wher x").unwrap_err().contains("no kind"));
-        let (placed, held) = (Call::Ask(Kind::Where, "m 1".into()), Call::Part(Kind::Held, String::new()));
-        let others = [Call::Ready, Call::Telemetry, Call::Exclude("a".into()), Call::Include("b".into())];
-        for call in others.into_iter().chain([placed, held]) {
-            assert_eq!(Call::parse(call.to_string().as_bytes()), Ok(call));
+        assert!(AdminCommand::parse(b"ask").unwrap_err().contains("takes a kind"));
+        assert!(AdminCommand::parse(b"part wher x").unwrap_err().contains("no kind"));
+        let (ask, part) =
+            (AdminCommand::Ask(Kind::Where, "m 1".into()), AdminCommand::Part(Kind::Held, String::new()));
+        let others = [
+            AdminCommand::Ready,
+            AdminCommand::Telemetry,
+            AdminCommand::Exclude("a".into()),
+            AdminCommand::Include("b".into()),
+        ];
+        for command in others.into_iter().chain([ask, part]) {
+            assert_eq!(AdminCommand::parse(command.to_string().as_bytes()), Ok(command));
         }
     }
 }
--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -2,7 +2,7 @@
 
 use super::retention::time;
 use super::Socket;
-use crate::admin::{client as door, Call};
+use crate::admin::{client, AdminCommand};
 use crate::config::Paths;
 use crate::control::client::{Client, Failed};
 use crate::control::config as control;
@@ -37,7 +37,7 @@
             failed => (UNREACHED, failed.to_string()),
         }),
         None if paths.config.is_none() && paths.control.is_none() => channel(paths, first, &subject),
-        None => door::ask(paths, &Call::Ask(kind, subject)),
+        None => client::ask(paths, &AdminCommand::Ask(kind, subject)),
     };
     let answer = match said {
         Ok(answer) => answer,
--- a/src/config.rs
+++ b/src/config.rs
@@ -153,7 +153,7 @@
     }
 
     /// Where the operators' door listens; `None`: it is off.
-    pub fn door(&self) -> Result<Option<SocketAddr>, String> {
+    pub fn admin_addr(&self) -> Result<Option<SocketAddr>, String> {
         let parse = |text: &str| text.parse().map_err(|e| format!("control: {text:?}: {e}"));
         self.control.as_deref().map(parse).transpose()
     }
--- a/src/core/admission.rs
+++ b/src/core/admission.rs
@@ -4,7 +4,7 @@
     policy_message, returned_event, Answer, Core, FinalOutcome, Order, PendingMessage, Req,
     DEFAULT_RETRY_AFTER,
 };
-use crate::admin::figures::Ended;
+use crate::admin::metrics::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
 use crate::register::trust::CallEnd;
 use std::sync::Arc;
--- a/src/core/backend_lists.rs
+++ b/src/core/backend_lists.rs
@@ -32,7 +32,7 @@
         };
         // The version is read before the set: a change in between is applied once more instead of being missed.
         self.overrides_version = hand.version();
-        for (front, back, news) in self.register.set_excluded(now, hand.out()) {
+        for (front, back, news) in self.register.set_excluded(now, hand.excluded()) {
             let back = back.iter().map(|name| Event::Restarted(self.endpoint_id(front, name))).collect();
             self.apply_list_change(now, front, news, back);
         }
--- a/src/core/carrying.rs
+++ b/src/core/carrying.rs
@@ -2,7 +2,7 @@
 
 use super::batches::{self, OrderedAttempt};
 use super::{Core, Fetch, FinalOutcome, Notice, Order};
-use crate::admin::figures::Ended;
+use crate::admin::metrics::Ended;
 use crate::api::{Action, Event, Micros};
 
 impl Core {
--- a/src/core/fetch_calls.rs
+++ b/src/core/fetch_calls.rs
@@ -2,7 +2,7 @@
 
 use super::attempt_log::Withheld;
 use super::{returned_event, Core, End, Fetch, FinalOutcome, FinishedFetch, MIN_TIME_TO_BEGIN};
-use crate::admin::figures::Ended;
+use crate::admin::metrics::Ended;
 use crate::api::{Event, MessageId, Micros, Outcome};
 use crate::register::trust::{CallEnd, CallReport};
 use crate::register::RegistryEffects;
--- a/src/core/history_feed.rs
+++ b/src/core/history_feed.rs
@@ -3,7 +3,7 @@
 //! until that thread has stored the message.
 
 use super::{Core, Courier};
-use crate::admin::figures::Ended;
+use crate::admin::metrics::Ended;
 use crate::api::Micros;
 use crate::history::keeper::Keeper;
 use crate::history::rider::Held;
--- a/src/core/message_lookup.rs
+++ b/src/core/message_lookup.rs
@@ -1,7 +1,7 @@
 //! Lookups for operators: where a message is, and which messages are held. Each takes one lookup or one copy under the lock.
 
 use super::{Core, Courier};
-use crate::admin::figures::Ended;
+use crate::admin::metrics::Ended;
 use crate::api::Micros;
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
--- a/src/core/mod.rs
+++ b/src/core/mod.rs
@@ -23,8 +23,8 @@
 mod shared;
 mod sharing;
 
-use crate::admin::figures::{Ended, Figures};
-use crate::admin::hand::Hand;
+use crate::admin::metrics::{Ended, Metrics};
+use crate::admin::overrides::EndpointOverrides;
 use crate::api::*;
 pub use crate::clock::Clock;
 use crate::comeback::memory::Waits;
@@ -58,7 +58,7 @@
     /// and does not end them, because the outcome that they report would otherwise never be delivered.
     pub own_class: Option<u16>,
     /// Administrative overrides that exclude endpoints. If `None`, no endpoint can be excluded.
-    pub overrides: Option<Arc<Hand>>,
+    pub overrides: Option<Arc<EndpointOverrides>>,
     /// State handed over by the process that served before this one.
     pub handed_over: Option<HandoverState>,
     /// Folder for the state that the next process run needs. If `None`, that state is not stored.
@@ -133,10 +133,10 @@
     replays: Replays,
     /// Fetches that the previous process carries out to their end.
     predecessor_fetches: BTreeMap<u64, Fetch>,
-    overrides: Option<Arc<Hand>>,
+    overrides: Option<Arc<EndpointOverrides>>,
     /// The version of the overrides that is applied here.
     overrides_version: u64,
-    figures: Figures,
+    figures: Metrics,
     recent_outcomes: message_lookup::RecentOutcomes,
     next_member_count_at: Micros,
     next_timer_at: Option<Micros>,
@@ -204,7 +204,7 @@
             predecessor_fetches: BTreeMap::new(),
             overrides: options.overrides,
             overrides_version: 0,
-            figures: Figures::default(),
+            figures: Metrics::default(),
             recent_outcomes: message_lookup::RecentOutcomes::new(options.record_outcomes),
             next_member_count_at: Micros(0),
             next_timer_at: None,
@@ -280,7 +280,7 @@
     }
 
     /// Counts of message outcomes and the current state.
-    pub fn figures(&mut self) -> &Figures {
+    pub fn figures(&mut self) -> &Metrics {
         self.figures.pending = self.messages.len().saturating_sub(self.replays.active_count()) as u64;
         &self.figures
     }
@@ -333,7 +333,7 @@
             }
             Report::List { front, update } => {
                 if let Some(overrides) = &self.overrides {
-                    overrides.listed(update.records.iter().map(|line| line.name.as_str()));
+                    overrides.record_listed(update.records.iter().map(|line| line.name.as_str()));
                 }
                 // The decision module is notified of every answer of discovery, even if the list has not changed.
                 let discovery_event =
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -1,7 +1,7 @@
 //! [`Courier`] shares the core among the threads of a process: one clock, one lock, and a queue of finished fetches.
 
 use super::{draining, Answer, Core, End, Fetch, FinishedFetch, Options, Order, Report, Req};
-use crate::admin::figures::Board;
+use crate::admin::metrics::PublishedMetrics;
 use crate::api::{Micros, Settings};
 use crate::clock::Clock;
 use crate::history::shelf::Shelf;
@@ -29,8 +29,8 @@
     orders: Receiver<Order>,
     /// Store of ended messages; `None` if they are not kept.
     pub(super) history: Option<Arc<Shelf>>,
-    /// Figures for operators, as of the last release of the state lock.
-    pub board: Arc<Board>,
+    /// Metrics for operators, as of the last release of the state lock.
+    pub board: Arc<PublishedMetrics>,
     /// Exchange of facts and beliefs between the core and the thread that shares them with other couriers.
     pub sharing: Arc<Desk>,
     /// For each front, whether a drain makes it refuse everything.
--- a/src/core/sharing.rs
+++ b/src/core/sharing.rs
@@ -80,7 +80,7 @@
             // The version is read before the set, so that a change in between causes another read in the next round.
             let version = overrides.version();
             self.sharing_state.ejected_by_operator =
-                (version, overrides.out().names().map(|endpoint| name(endpoint.as_bytes())).collect());
+                (version, overrides.excluded().names().map(|endpoint| name(endpoint.as_bytes())).collect());
         }
         facts.banned = self.sharing_state.ejected_by_operator.1.clone();
         let shared_names = &self.sharing_state.shared_names;
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -2,7 +2,7 @@
 
 mod parts;
 
-use crate::admin::{door, hand, hand::Hand, Desk};
+use crate::admin::{overrides, overrides::EndpointOverrides, server, CommandHandler};
 use crate::admission;
 use crate::ask;
 use crate::clock::anchor;
@@ -62,7 +62,7 @@
     let config = paths.read()?;
     let state = paths.state()?;
     let discovery = config.discovery();
-    let door_at = config.door()?;
+    let door_at = config.admin_addr()?;
     let (known, neighbours) = (config.known, config.neighbours);
     let (mut settings, names) = config.settings.split()?;
     let mail_config = mail::config::read(&paths.mail, &mut settings, &names)?;
@@ -83,7 +83,7 @@
     // Before anything is touched: an address that is taken or a descriptor that is none ends this process alone.
     let inherited = inherited_socket::listener(paths.listen_fd.as_deref(), config.listen.as_deref())?;
     let door_listener = match door_at {
-        Some(at) => Some(door::bind(at).map_err(|e| format!("control: {at}: {e}"))?),
+        Some(at) => Some(server::bind(at).map_err(|e| format!("control: {at}: {e}"))?),
         None => None,
     };
     let upgradable = door_at.is_some() || inherited.is_some();
@@ -96,7 +96,7 @@
     let for_copy = if keep.enabled && config.listen.is_some() { keep.disk_bytes } else { 0 };
     let for_drains = if control.is_some() { draining::RESERVED_DISK_BYTES } else { 0 };
     let in_state = |e: &dyn std::fmt::Display| format!("NODE_STATE: {}: {e}", state.display());
-    let for_hand = if door_at.is_some() { hand::ROOM } else { 0 };
+    let for_hand = if door_at.is_some() { overrides::MAX_DISK_BYTES } else { 0 };
     let for_history = history.as_ref().map_or(0, |h| h.disk);
     let others = zones
         + for_copy
@@ -133,7 +133,7 @@
     // The journal knows better where the file of claims was damaged.
     let incarnation = journal.incarnation();
     // An endpoint that is left out stays so in a life without a door, too.
-    let by_hand = Arc::new(Hand::open(&state));
+    let by_hand = Arc::new(EndpointOverrides::open(&state));
     let lists = passed.as_mut().map_or(Vec::new(), |passed| std::mem::take(&mut passed.lists));
     // Before it is touched: the process that had it has closed it and let go of the folder.
     let members =
@@ -201,7 +201,7 @@
         let seek = AddressRotation::new(discovery?, &reg.extra_addrs, config.seed);
         let mut bounds = config.bounds;
         if door_at.is_some() {
-            bounds.sockets -= door::places(bounds.sockets);
+            bounds.sockets -= server::max_connections(bounds.sockets);
         }
         if let Some(asks) = asks.as_ref().filter(|_| may_tell) {
             bounds.sockets -= asks.most.connections.min(config.bounds.sockets / ASK_SHARE);
@@ -279,11 +279,11 @@
             .map_err(refuse)?;
     }
     if let Some(listener) = door_listener {
-        let (board, hand) = (courier.board.clone(), by_hand.clone());
+        let (metrics, overrides) = (courier.board.clone(), by_hand.clone());
         let (serving, clock) = (serving.clone(), courier.clock);
-        let desk = Desk { board, hand, classes, serving, fleet, shared: believed, clock };
-        let places = door::places(config.bounds.sockets);
-        let at = door::serve(listener, desk, courier.clock, places).map_err(|e| format!("control: {e}"))?;
+        let desk = CommandHandler { metrics, overrides, classes, serving, fleet, shared: believed, clock };
+        let places = server::max_connections(config.bounds.sockets);
+        let at = server::serve(listener, desk, courier.clock, places).map_err(|e| format!("control: {e}"))?;
         tracing::info!(target: "door", "door on {at}");
     }
     if let Some(ends) = ends {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,7 +1,7 @@
 //! The program: its command line, and nothing else.
 
 use clap::Parser;
-use indigohold::admin::{client, Call};
+use indigohold::admin::{client, AdminCommand};
 use indigohold::cli::{ask, check, drain, register, replay, retention, Cli, Command};
 use indigohold::{daemon, log};
 use std::process::ExitCode;
@@ -13,7 +13,7 @@
 const NO: u8 = 3;
 
 /// One call at the operators' door.
-fn door(cli: &Cli, call: &Call) -> ExitCode {
+fn door(cli: &Cli, call: &AdminCommand) -> ExitCode {
     match client::run(&cli.paths, call) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::from(NO),
@@ -54,10 +54,10 @@
         Some(Command::Replay { socket, what }) => {
             return ExitCode::from(replay::run(&cli.paths.channel, socket, what))
         }
-        Some(Command::Ready) => return door(&cli, &Call::Ready),
-        Some(Command::Telemetry) => return door(&cli, &Call::Telemetry),
-        Some(Command::Exclude { id }) => return door(&cli, &Call::Exclude(id.clone())),
-        Some(Command::Include { id }) => return door(&cli, &Call::Include(id.clone())),
+        Some(Command::Ready) => return door(&cli, &AdminCommand::Ready),
+        Some(Command::Telemetry) => return door(&cli, &AdminCommand::Telemetry),
+        Some(Command::Exclude { id }) => return door(&cli, &AdminCommand::Exclude(id.clone())),
+        Some(Command::Include { id }) => return door(&cli, &AdminCommand::Include(id.clone())),
         Some(Command::Register(what)) => match register::run(&cli.paths, what) {
             Ok(text) => {
                 print!("{text}");
--- a/src/net/ask/kinds/place.rs
+++ b/src/net/ask/kinds/place.rs
@@ -1,7 +1,7 @@
 //! `where ID`: where a message is. Whoever has it settles the question.
 
 use super::{Answers, Here, Piece, ELSEWHERE};
-use crate::admin::figures::Ended;
+use crate::admin::metrics::Ended;
 use crate::ask::Kind;
 use crate::control::shape::Words;
 use crate::core::message_lookup;
--- a/src/net/mail/client.rs
+++ b/src/net/mail/client.rs
@@ -190,7 +190,7 @@
     }
     let text = lines::stuffed(&fetch.req.body);
     conn::write_all(&stream, &text, until).map_err(|e| fault(End::NotConnected, e.to_string()))?;
-    mail.courier.board.wrote();
+    mail.courier.board.count_written();
     // From here on it may have run. LMTP answers once for each recipient, and there is one.
     match talk.hear() {
         Ok(reply) => {
--- a/src/net/platform/batch.rs
+++ b/src/net/platform/batch.rs
@@ -113,7 +113,7 @@
             return None;
         }
         for fetch in &self.riding {
-            self.platform.courier.board.wrote();
+            self.platform.courier.board.count_written();
             self.platform.conns.request_written(fetch.msg, fetch.attempt, fetch.req.dest);
         }
         if !self.wait(&stream, until, sent) {
--- a/src/net/platform/fetch.rs
+++ b/src/net/platform/fetch.rs
@@ -86,7 +86,7 @@
         // of its endpoint: it may have been closed for its idleness just now.
         return Done::without_answer(if reused { End::NotBegun } else { End::NotConnected });
     }
-    platform.courier.board.wrote();
+    platform.courier.board.count_written();
     platform.conns.request_written(fetch.msg, fetch.attempt, fetch.req.dest);
     let (came, at) = answer::hear(platform, fetch, &stream, &mut buf, until, false);
     let latency = Micros((at - sent).as_micros() as u64);
--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -6,7 +6,7 @@
 pub mod inherited_socket;
 pub mod phase;
 
-use crate::admin::hand::Hand;
+use crate::admin::overrides::EndpointOverrides;
 use crate::api::Micros;
 use crate::core::handover::{CompletedCall, HandoverState};
 use crate::core::{Clock, Courier};
@@ -71,7 +71,7 @@
     /// The lock on the state folder.
     pub owner: Arc<Mutex<Option<Owner>>>,
     /// The administrative overrides, which only the new process changes after the handover.
-    pub overrides: Arc<Hand>,
+    pub overrides: Arc<EndpointOverrides>,
     /// The reason for which every handover is refused, if there is one.
     pub refusal_reason: Option<&'static str>,
 }
