--- a/src/control/client.rs
+++ b/src/control/client.rs
@@ -154,10 +154,10 @@
     let (mut bytes, mut part) = (Vec::new(), vec![0; 16 * 1024]);
     loop {
         let malformed = |_| io::Error::from(ErrorKind::InvalidData);
-        if let Some(head) = http::answer(&bytes, &[]).map_err(malformed)? {
-            if let http::Body::Length(length) = head.body {
-                if bytes.len() >= head.head + length {
-                    return Ok((head.status, bytes[head.head..head.head + length].to_vec()));
+        if let Some(head) = http::parse_response(&bytes, &[]).map_err(malformed)? {
+            if let http::BodyFraming::Length(length) = head.body {
+                if bytes.len() >= head.head_len + length {
+                    return Ok((head.status, bytes[head.head_len..head.head_len + length].to_vec()));
                 }
             }
         }
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -133,15 +133,15 @@
         loop {
             let until = self.within(REQUEST);
             let head = loop {
-                let room = match http::request(&buf[..filled]) {
+                let room = match http::parse_request(&buf[..filled]) {
                     Err(bad) => {
                         let status = bad.status();
                         let number = status.split(' ').next().and_then(|s| s.parse().ok()).unwrap_or(400);
                         let problem = Problem::new("request", number, "the request can't be read", status);
                         return self.say(stream, number, "application/problem+json", &problem, true);
                     }
-                    Ok(Some(head)) if filled >= head.head + head.body => break head,
-                    Ok(Some(head)) => (head.head + head.body).min(MAX_HEAD_BYTES + MAX_BODY_BYTES),
+                    Ok(Some(head)) if filled >= head.head_len + head.body_len => break head,
+                    Ok(Some(head)) => (head.head_len + head.body_len).min(MAX_HEAD_BYTES + MAX_BODY_BYTES),
                     Ok(None) => MAX_HEAD_BYTES,
                 };
                 match conn::read(stream, &mut buf[filled..room], until)? {
@@ -149,9 +149,9 @@
                     n => filled += n,
                 }
             };
-            let end = head.head + head.body;
+            let end = head.head_len + head.body_len;
             let path = head.path.split('?').next().unwrap_or_default();
-            match self.answer(&head.method, path, &buf[head.head..end]) {
+            match self.answer(&head.method, path, &buf[head.head_len..end]) {
                 Ok((status, value)) => self.say(stream, status, "application/json", &value, head.close)?,
                 Err(p) => self.say(stream, p.status, "application/problem+json", &p, head.close)?,
             }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -216,9 +216,11 @@
         };
         let sessions = std::mem::take(&mut sessions);
         fronts.push(front);
-        doors.push(platform.door.clone());
+        doors.push(platform.acceptor.clone());
         let shared = platform.clone();
-        reloads.push(Box::new(move |config| config.discovery().map(|addr| shared.site.move_to(addr))));
+        reloads.push(Box::new(move |config| {
+            config.discovery().map(|addr| shared.discovery.set_configured(addr))
+        }));
         serve.push(Box::new(move || platform::serve(&platform, listener, sessions)));
     }
     if let Some(mail_config) = mail_config {
--- a/src/net/platform/batch.rs
+++ b/src/net/platform/batch.rs
@@ -1,8 +1,8 @@
-//! Batches: several messages for one backend in one call, each with an end of its own.
+//! Batches: several messages for one backend in one call, each of which ends by itself.
 
-use super::answer::{self, hear_others, Came};
 use super::fetch;
-use super::http::AnswerHead;
+use super::http::ResponseHead;
+use super::response::{self, report_unread_waits_for, Received};
 use super::Platform;
 use crate::api::Micros;
 use crate::core::{End, Fetch};
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// One message as the call writes it.
+/// One message in the JSON body of a batch.
 #[derive(Serialize)]
 struct Item<'a> {
     id: &'a str,
@@ -26,139 +26,141 @@
     body: String,
 }
 
-/// The bytes that a message takes in a call, at most: quotes and backslashes in names take two.
-fn weight(fetch: &Fetch) -> usize {
-    const AROUND: usize = r#"{"id":"","key":"","body":""},"#.len();
-    AROUND + 2 * (fetch.req.id.len() + fetch.req.head.len()) + 4 * fetch.req.body.len().div_ceil(3)
+/// Upper bound for the length of a message in the body of a batch: quotes and backslashes in id and key take two bytes each.
+fn max_encoded_len(fetch: &Fetch) -> usize {
+    const SYNTAX_LEN: usize = r#"{"id":"","key":"","body":""},"#.len();
+    SYNTAX_LEN + 2 * (fetch.req.id.len() + fetch.req.head.len()) + 4 * fetch.req.body.len().div_ceil(3)
 }
 
-/// Danger: a body over 64 KiB is none. One that fills a call by itself goes by a plain one.
+/// Splits fetches into calls, because a body over 64 KiB is not accepted. A message that fills a call by itself is sent in
+/// a call for a single message.
 pub fn split(fetches: Vec<Fetch>) -> Vec<Vec<Fetch>> {
     let mut calls: Vec<Vec<Fetch>> = Vec::new();
-    let mut room = 0;
+    let mut capacity = 0;
     for fetch in fetches {
-        let takes = weight(&fetch);
-        match calls.last_mut().filter(|_| takes <= room) {
+        let len = max_encoded_len(&fetch);
+        match calls.last_mut().filter(|_| len <= capacity) {
             Some(call) => call.push(fetch),
             None => {
                 calls.push(vec![fetch]);
-                room = MAX_BODY_BYTES - "[]".len();
+                capacity = MAX_BODY_BYTES - "[]".len();
             }
         }
-        room = room.saturating_sub(takes);
+        capacity = capacity.saturating_sub(len);
     }
     calls
 }
 
-/// Carries out a batch; every member's end is told.
-pub fn run(platform: &Platform, call: Vec<Fetch>) {
-    let mut trip = Trip { platform, riding: call, over: Vec::new() };
-    let spare = trip.go();
-    let left = std::mem::take(&mut trip.riding);
-    // Whoever is still here was never sent.
-    left.into_iter().for_each(|fetch| trip.over.push((fetch, End::NotBegun)));
-    trip.tell(Micros(0), &[]);
-    if let Some((fetch, spare)) = spare {
-        platform.conns.keep(&fetch.backend, spare, 0);
+/// Carries out a batch and reports the end of every member.
+pub fn run(platform: &Platform, fetches: Vec<Fetch>) {
+    let mut call = BatchCall { platform, members: fetches, unreported: Vec::new() };
+    let reusable = call.execute();
+    let unsent = std::mem::take(&mut call.members);
+    // Members that have no end yet were never sent.
+    unsent.into_iter().for_each(|fetch| call.unreported.push((fetch, End::NotBegun)));
+    call.report_ends(Micros(0), &[]);
+    if let Some((fetch, stream)) = reusable {
+        platform.conns.keep(&fetch.backend, stream, 0);
     }
 }
 
-/// A call on its way.
-struct Trip<'a> {
+/// The call of a batch.
+struct BatchCall<'a> {
     platform: &'a Platform,
-    /// Members without an end.
-    riding: Vec<Fetch>,
-    /// Ends that are not told yet.
-    over: Vec<(Fetch, End)>,
+    /// Members that have not ended.
+    members: Vec<Fetch>,
+    /// Ends that are not reported yet.
+    unreported: Vec<(Fetch, End)>,
 }
 
-/// A connection that may serve again, and for whom.
-type Spare = Option<(Fetch, Arc<TcpStream>)>;
+/// A connection that can be reused, and a fetch that names its backend.
+type ReusableStream = Option<(Fetch, Arc<TcpStream>)>;
 
-impl Trip<'_> {
-    fn go(&mut self) -> Spare {
+impl BatchCall<'_> {
+    fn execute(&mut self) -> ReusableStream {
         let clock = &self.platform.courier.clock;
-        let first = self.riding.first()?.clone();
-        // They have one deadline.
+        let first = self.members.first()?.clone();
+        // All members have the same deadline.
         let until = clock.instant(first.deadline);
-        let (stream, reused) = match fetch::connected(self.platform, &first, until) {
-            Ok(connected) => connected,
+        let (stream, reused) = match fetch::connect(self.platform, &first, until) {
+            Ok(connection) => connection,
             Err(end) => {
-                self.all(end);
+                self.end_all(end);
                 return None;
             }
         };
-        let kept = |stream| Some((first.clone(), stream));
-        let names: Vec<(u64, u8)> = self.riding.iter().map(|fetch| (fetch.msg, fetch.attempt)).collect();
-        let mut open = self.platform.conns.fetches_connected(&names, &stream).into_iter();
-        self.keep_those(|_| open.next().unwrap_or_default());
-        // The last look before the first byte, for each by itself.
-        hear_others(self.platform, &first);
-        let mut go = self.platform.courier.begin_all(&self.riding).into_iter();
-        self.keep_those(|_| go.next().unwrap_or_default());
-        if self.riding.is_empty() || hear_others(self.platform, &first) {
-            return kept(stream);
+        let reusable = |stream| Some((first.clone(), stream));
+        let ids: Vec<(u64, u8)> = self.members.iter().map(|fetch| (fetch.msg, fetch.attempt)).collect();
+        let mut opened = self.platform.conns.fetches_connected(&ids, &stream).into_iter();
+        self.retain_members(|_| opened.next().unwrap_or_default());
+        // The last check before the first byte, for each member by itself.
+        report_unread_waits_for(self.platform, &first);
+        let mut may_begin = self.platform.courier.begin_all(&self.members).into_iter();
+        self.retain_members(|_| may_begin.next().unwrap_or_default());
+        if self.members.is_empty() || report_unread_waits_for(self.platform, &first) {
+            return reusable(stream);
         }
         let mut buf = self.platform.pool.get();
-        let Some(len) = self.write(&mut buf) else { return kept(stream) };
-        // As with one message.
+        let Some(len) = self.write_request(&mut buf) else { return reusable(stream) };
+        // For the same reason as in a fetch by itself.
         if reused && !conn::is_idle(&stream) {
-            self.all(End::NotBegun);
+            self.end_all(End::NotBegun);
             return None;
         }
         let sent = Instant::now();
         if conn::write_all(&stream, &buf[..len], until).is_err() {
-            // As with one message: its last byte was never written.
-            self.all(if reused { End::NotBegun } else { End::NotConnected });
+            // As in a fetch by itself: the last byte was not written.
+            self.end_all(if reused { End::NotBegun } else { End::NotConnected });
             return None;
         }
-        for fetch in &self.riding {
+        for fetch in &self.members {
             self.platform.courier.board.count_written();
             self.platform.conns.request_written(fetch.msg, fetch.attempt, fetch.req.dest);
         }
-        if !self.wait(&stream, until, sent) {
+        if !self.wait_for_response(&stream, until, sent) {
             return None;
         }
-        let (came, at) = answer::hear(self.platform, &first, &stream, &mut buf, until, true);
-        let latency = Micros((at - sent).as_micros() as u64);
-        let (load, reusable) = self.ends(came, &buf);
-        if !reusable {
-            // Closed before any end is told: what goes again at once would be a second copy.
+        let (received, received_at) =
+            response::read_response(self.platform, &first, &stream, &mut buf, until, true);
+        let latency = Micros((received_at - sent).as_micros() as u64);
+        let (load, can_reuse) = self.apply_response(received, &buf);
+        if !can_reuse {
+            // Closed before any end is reported: a retry that begins at once would put a second copy in flight.
             let _ = stream.shutdown(Shutdown::Both);
         }
-        self.tell(latency, &load);
-        if reusable {
-            kept(stream)
+        self.report_ends(latency, &load);
+        if can_reuse {
+            reusable(stream)
         } else {
             None
         }
     }
 
-    /// Who may not stay was never sent.
-    fn keep_those(&mut self, mut stays: impl FnMut(&Fetch) -> bool) {
-        let (stay, leave): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.riding).into_iter().partition(|f| stays(f));
-        self.riding = stay;
-        self.over.extend(leave.into_iter().map(|fetch| (fetch, End::NotBegun)));
+    /// Ends the members that may not begin; they were never sent.
+    fn retain_members(&mut self, mut retain: impl FnMut(&Fetch) -> bool) {
+        let (retained, removed): (Vec<_>, Vec<_>) =
+            std::mem::take(&mut self.members).into_iter().partition(|fetch| retain(fetch));
+        self.members = retained;
+        self.unreported.extend(removed.into_iter().map(|fetch| (fetch, End::NotBegun)));
     }
 
-    fn all(&mut self, end: End) {
-        self.over.splice(0..0, std::mem::take(&mut self.riding).into_iter().map(|fetch| (fetch, end)));
+    fn end_all(&mut self, end: End) {
+        self.unreported.splice(0..0, std::mem::take(&mut self.members).into_iter().map(|fetch| (fetch, end)));
     }
 
-    /// The request's bytes; `None` if they don't fit, or the time of all is up.
-    fn write(&self, buf: &mut PooledBuffer) -> Option<usize> {
+    /// Writes the request and returns its length; `None`: it does not fit, or the deadline has passed.
+    fn write_request(&self, buf: &mut PooledBuffer) -> Option<usize> {
         let now = self.platform.courier.clock.now();
         let left_ms =
-            self.riding.first().map(|fetch| (fetch.deadline - now).0 / 1000).filter(|ms| *ms > 0)?;
-        let item = |fetch: &'_ Fetch| STANDARD.encode(&fetch.req.body);
+            self.members.first().map(|fetch| (fetch.deadline - now).0 / 1000).filter(|ms| *ms > 0)?;
+        let encoded_body = |fetch: &'_ Fetch| STANDARD.encode(&fetch.req.body);
         let items: Vec<Item> = self
-            .riding
+            .members
             .iter()
-            .map(|fetch| Item { id: &fetch.req.id, key: &fetch.req.head, body: item(fetch) })
+            .map(|fetch| Item { id: &fetch.req.id, key: &fetch.req.head, body: encoded_body(fetch) })
             .collect();
         let body = serde_json::to_vec(&items).ok().filter(|body| body.len() <= MAX_BODY_BYTES)?;
-        let (size, host) = (buf.len(), self.riding.first()?.backend.addr);
+        let (size, host) = (buf.len(), self.members.first()?.backend.addr);
         let mut rest = &mut buf[..];
         write!(rest, "POST /hook/batch HTTP/1.1\r\nHost: {host}\r\nReq-Deadline-Ms: {left_ms}\r\n").ok()?;
         write!(rest, "Content-Length: {}\r\n\r\n", body.len()).ok()?;
@@ -167,47 +169,48 @@
         Some(size - unused)
     }
 
-    /// Waits for the first byte of the answer; `false`: in vain. All members are given up together: a call has one fate. Danger: one
-    /// that may go again must not be told before the call is closed, or two copies are out.
-    fn wait(&mut self, stream: &TcpStream, until: Instant, sent: Instant) -> bool {
+    /// Waits for the first byte of the response; `false`: none arrived by the deadline. All members time out together,
+    /// because a call ends as a whole. The call is closed before any end is reported: otherwise a member that is retried
+    /// would have two copies in flight.
+    fn wait_for_response(&mut self, stream: &TcpStream, until: Instant, sent: Instant) -> bool {
         match conn::peek(stream, &mut [0], until) {
             Err(e) if errors::is_timeout(&e) => {
-                // An error says that it is closed already.
+                // An error means that it is closed already.
                 let _ = stream.shutdown(Shutdown::Both);
-                self.all(End::TimedOut);
-                self.tell(Micros(sent.elapsed().as_micros() as u64), &[]);
+                self.end_all(End::TimedOut);
+                self.report_ends(Micros(sent.elapsed().as_micros() as u64), &[]);
                 false
             }
             _ => true,
         }
     }
 
-    /// What the answer says of each member; the load it tells, and whether the connection may serve again.
-    fn ends(&mut self, came: Came, buf: &PooledBuffer) -> (Vec<f32>, bool) {
-        match came {
-            Came::Nothing(end) => self.all(end),
-            // What a half answer says of some is nothing that ends a message.
-            Came::Unread { wait, .. } => self.all(End::Spoilt(wait)),
-            Came::Head(head) => self.all(End::Spoilt(head.wait)),
-            Came::Whole { head, len } => {
+    /// Ends each member as the response says. Returns the reported load, and whether the connection can be reused.
+    fn apply_response(&mut self, received: Received, buf: &PooledBuffer) -> (Vec<f32>, bool) {
+        match received {
+            Received::Nothing(end) => self.end_all(end),
+            // What an incomplete response says about some members ends none of them.
+            Received::Invalid { retry_after, .. } => self.end_all(End::Spoilt(retry_after)),
+            Received::HeadOnly(head) => self.end_all(End::Spoilt(head.retry_after)),
+            Received::Complete { head, len } => {
                 match head.status {
                     200 => {
-                        let mut states = States::read(&head, &buf[..len]);
-                        let all = std::mem::take(&mut self.riding).into_iter();
-                        self.over.splice(
+                        let mut states = MemberStates::parse(&head, &buf[..len]);
+                        let members = std::mem::take(&mut self.members).into_iter();
+                        self.unreported.splice(
                             0..0,
-                            all.map(|fetch| {
+                            members.map(|fetch| {
                                 let end = states.end(&fetch.req.id);
                                 (fetch, end)
                             }),
                         );
                     }
-                    // It says so: none has run.
+                    // With these statuses the endpoint says that it processed no member.
                     400 | 413 => {
                         tracing::warn!(target: "platform", status = head.status, "a batch was not read");
-                        self.all(End::Unsent);
+                        self.end_all(End::Unsent);
                     }
-                    _ => self.all(answer::end_of(&head)),
+                    _ => self.end_all(response::end_from_head(&head)),
                 }
                 return (head.load, !head.close);
             }
@@ -215,10 +218,10 @@
         (Vec::new(), false)
     }
 
-    /// Tells the ends so far. What the call itself came to stands first: it speaks for the call.
-    fn tell(&mut self, latency: Micros, load: &[f32]) {
+    /// Reports the ends so far. The end that the call as a whole came to is first, because it stands for the call.
+    fn report_ends(&mut self, latency: Micros, load: &[f32]) {
         let conns = &self.platform.conns;
-        let mut ends = std::mem::take(&mut self.over);
+        let mut ends = std::mem::take(&mut self.unreported);
         for (fetch, end) in &mut ends {
             if conns.fetch_ended(fetch.msg, fetch.attempt) && *end == End::Broke {
                 *end = End::CalledOff;
@@ -231,31 +234,31 @@
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct MemberState {
     id: String,
     state: String,
 }
 
-/// What a whole answer says of the members of its batch.
-pub struct States {
-    /// By id; `None`: told twice, and not the same.
-    told: HashMap<String, Option<String>>,
-    wait: Option<Micros>,
+/// What a complete response says about the members of its batch.
+pub struct MemberStates {
+    /// State by id; `None`: the response has several different ones.
+    by_id: HashMap<String, Option<String>>,
+    retry_after: Option<Micros>,
 }
 
-impl States {
-    /// Reads them. What can't be read says nothing: its messages may have run.
-    pub fn read(head: &AnswerHead, bytes: &[u8]) -> States {
-        let mut states = States { told: HashMap::new(), wait: head.wait };
-        let Some(mut body) = head.content(bytes) else { return states };
+impl MemberStates {
+    /// Parses the response. A member whose state cannot be parsed may have taken effect.
+    pub fn parse(head: &ResponseHead, bytes: &[u8]) -> MemberStates {
+        let mut states = MemberStates { by_id: HashMap::new(), retry_after: head.retry_after };
+        let Some(mut body) = head.decoded_body(bytes) else { return states };
         let Ok(items) = simd_json::serde::from_slice::<Vec<serde_json::Value>>(&mut body) else {
             return states;
         };
         for item in items {
-            let Ok(Told { id, state }) = serde_json::from_value(item) else { continue };
-            let before = states.told.entry(id).or_insert_with(|| Some(state.clone()));
-            if before.as_ref() != Some(&state) {
-                *before = None;
+            let Ok(MemberState { id, state }) = serde_json::from_value(item) else { continue };
+            let earlier = states.by_id.entry(id).or_insert_with(|| Some(state.clone()));
+            if earlier.as_ref() != Some(&state) {
+                *earlier = None;
             }
         }
         states
@@ -263,14 +266,14 @@
 
     /// How the message of this id ended.
     pub fn end(&mut self, id: &str) -> End {
-        match self.told.get(id).and_then(Option::as_deref) {
+        match self.by_id.get(id).and_then(Option::as_deref) {
             Some("done") => End::Delivered,
             Some("failed") => End::Failed,
-            Some("busy") => End::TurnedAway(self.wait),
+            Some("busy") => End::TurnedAway(self.retry_after),
             Some("void") => End::Over,
             Some("used_up") => End::Unsent,
-            // Not told, told twice, or told what is no state: it may have run. A told wait binds all the same.
-            _ => End::Spoilt(self.wait),
+            // Missing, contradictory or unknown: the message may have taken effect. A demanded wait is honoured all the same.
+            _ => End::Spoilt(self.retry_after),
         }
     }
 }
@@ -282,7 +285,7 @@
     use crate::core::{Backend, Req};
     use crate::net::platform::http;
 
-    fn fetch(id: &str, body: usize) -> Fetch {
+    fn fetch(id: &str, body_len: usize) -> Fetch {
         let req = Req {
             front: 0,
             id: id.to_owned(),
@@ -292,17 +295,18 @@
             due: Micros(0),
             keep_id_until: Micros(0),
             head: "k".to_owned(),
-            body: vec![b'x'; body].into(),
+            body: vec![b'x'; body_len].into(),
         };
         let backend = Arc::new(Backend { name: "b".into(), addr: "127.0.0.1:1".parse().unwrap() });
-        let at = EndpointId { addr: [0; 4], port: 0 };
-        Fetch { msg: 0, attempt: 0, endpoint: at, backend, req: Arc::new(req), deadline: Micros(0) }
+        let endpoint = EndpointId { addr: [0; 4], port: 0 };
+        Fetch { msg: 0, attempt: 0, endpoint, backend, req: Arc::new(req), deadline: Micros(0) }
     }
 
-    fn states(extra: &str, body: &str) -> States {
-        let answer = format!("HTTP/1.1 200 OK\r\n{extra}Content-Length: {}\r\n\r\n{body}", body.len());
-        let head = http::answer(answer.as_bytes(), &[]).unwrap().unwrap();
-        States::read(&head, answer.as_bytes())
+    fn states(extra_headers: &str, body: &str) -> MemberStates {
+        let response =
+            format!("HTTP/1.1 200 OK\r\n{extra_headers}Content-Length: {}\r\n\r\n{body}", body.len());
+        let head = http::parse_response(response.as_bytes(), &[]).unwrap().unwrap();
+        MemberStates::parse(&head, response.as_bytes())
     }
 
     #[test]
@@ -310,53 +314,61 @@
         let body = r#"[{"id":"a","state":"done"},{"id":"b","state":"failed"},{"id":"c","state":"busy"},
             {"id":"d","state":"void"},{"id":"e","state":"used_up"},{"id":"f","state":"DONE"},{"id":"g"},7,
             {"id":"h","state":"done"},{"id":"h","state":"busy"},{"id":"i","state":"busy"},{"id":"i","state":"busy"}]"#;
-        let mut told = states("X-RateLimit-Wait-Ms: 700\r\n", body);
+        let mut members = states("X-RateLimit-Wait-Ms: 700\r\n", body);
         let wait = Some(Micros(700_000));
-        assert_eq!(told.end("a"), End::Delivered);
-        assert_eq!(told.end("b"), End::Failed);
-        assert_eq!((told.end("c"), told.end("i")), (End::TurnedAway(wait), End::TurnedAway(wait)));
-        assert_eq!((told.end("d"), told.end("e")), (End::Over, End::Unsent));
-        // No state, none that there is, two of them, not told at all: it may have run.
+        assert_eq!(members.end("a"), End::Delivered);
+        assert_eq!(members.end("b"), End::Failed);
+        assert_eq!((members.end("c"), members.end("i")), (End::TurnedAway(wait), End::TurnedAway(wait)));
+        assert_eq!((members.end("d"), members.end("e")), (End::Over, End::Unsent));
+        // No state, an unknown one, two different ones, or not listed: the message may have taken effect.
         for id in ["f", "g", "h", "another"] {
-            assert_eq!(told.end(id), End::Spoilt(wait), "{id}");
+            assert_eq!(members.end(id), End::Spoilt(wait), "{id}");
         }
     }
 
     #[test]
-    fn broken_json_proves_nothing_of_anyone() {
+    fn truncated_json_proves_nothing_about_any_member() {
         let whole = r#"[{"id":"a","state":"done"},{"id":"b","state":"busy"}]"#;
-        for cut in 0..whole.len() {
-            let mut told = states("", &whole[..cut]);
+        for len in 0..whole.len() {
+            let mut members = states("", &whole[..len]);
             assert_eq!(
-                (told.end("a"), told.end("b")),
+                (members.end("a"), members.end("b")),
                 (End::Spoilt(None), End::Spoilt(None)),
-                "cut at {cut}"
+                "cut at {len}"
             );
         }
         assert_eq!(states("", whole).end("a"), End::Delivered);
     }
 
     #[test]
-    fn a_chunked_answer_is_read_without_its_chunks() {
+    fn a_chunked_response_is_decoded() {
         let body = "1a\r\n[{\"id\":\"a\",\"state\":\"done\r\n2\r\n\"}\r\n1\r\n]\r\n0\r\n\r\n";
         let body = body.replacen("1a", &format!("{:x}", r#"[{"id":"a","state":"done"#.len()), 1);
-        let answer = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{body}");
-        let head = http::answer(answer.as_bytes(), &[]).unwrap().unwrap();
-        assert_eq!(States::read(&head, answer.as_bytes()).end("a"), End::Delivered);
+        let response = format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{body}");
+        let head = http::parse_response(response.as_bytes(), &[]).unwrap().unwrap();
+        assert_eq!(MemberStates::parse(&head, response.as_bytes()).end("a"), End::Delivered);
     }
 
     #[test]
-    fn no_call_is_over_the_longest_body() {
+    fn no_batch_exceeds_the_maximum_body_length() {
         let sizes = [40_000, 10, 20_000, 20_000, 65_536, 5];
-        let calls = split(sizes.iter().map(|n| fetch("id", *n)).collect());
+        let calls = split(sizes.iter().map(|len| fetch("id", *len)).collect());
         assert_eq!(calls.iter().map(Vec::len).sum::<usize>(), sizes.len());
         for call in calls.iter().filter(|call| call.len() > 1) {
             let items: Vec<Item> = call
                 .iter()
-                .map(|f| Item { id: &f.req.id, key: &f.req.head, body: STANDARD.encode(&f.req.body) })
+                .map(|fetch| Item {
+                    id: &fetch.req.id,
+                    key: &fetch.req.head,
+                    body: STANDARD.encode(&fetch.req.body),
+                })
                 .collect();
             assert!(serde_json::to_vec(&items).unwrap().len() <= MAX_BODY_BYTES);
         }
-        assert_eq!(split((0..20).map(|_| fetch("id", 300)).collect()).len(), 1, "small ones go together");
+        assert_eq!(
+            split((0..20).map(|_| fetch("id", 300)).collect()).len(),
+            1,
+            "small messages share a call"
+        );
     }
 }
--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -1,7 +1,7 @@
-//! The list of backends: a watch on discovery, reopened whenever the module asks for it; the whole list, read now and
-//! then where discovery offers no watch, and once more where the register wants a second word.
+//! The list of backends: a watch on discovery, reopened whenever the decision module requests it; the full list, read
+//! periodically where discovery offers no watch, and once more where the registry wants a list confirmed.
 
-use super::lines::Lines;
+use super::line_decoder::LineDecoder;
 use super::{Platform, FRONT};
 use crate::api::Micros;
 use crate::core::{Report, Source};
@@ -14,211 +14,221 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// A bound for reading what lies there.
-const AT_ONCE: Duration = Duration::from_secs(1);
-/// Where there is no watch, it is tried again after so many reads of the whole list.
-const READS_BETWEEN: u32 = 30;
+/// Timeout for reading bytes that have arrived already.
+const BUFFERED_READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// Where discovery offers no watch, reads of the full list between two attempts to open one.
+const READS_PER_WATCH_ATTEMPT: u32 = 30;
 
 /// Why a watch ended.
-enum Ended {
-    /// It broke, or said what can't be read.
-    Broke(io::Error),
-    /// Discovery offers none: it answered with a status that says so, or with a list and an end.
+enum WatchEnd {
+    /// The connection failed or timed out, or the response was malformed.
+    Failed(io::Error),
+    /// Discovery offers no watch: it answered with a status that says so, or with a list of known length.
     NotOffered,
 }
 
-impl From<io::Error> for Ended {
-    fn from(e: io::Error) -> Ended {
-        Ended::Broke(e)
+impl From<io::Error> for WatchEnd {
+    fn from(e: io::Error) -> WatchEnd {
+        WatchEnd::Failed(e)
     }
 }
 
-/// Opens a watch whenever one is asked for, and reports until it ends. One that ended because discovery has moved is
-/// opened anew at once, and other addresses have their turn before the module hears that the list can't be had.
+/// Thread function: opens a watch whenever one is requested, and reports its lists until it ends. A watch that ended because
+/// discovery's address was replaced is reopened at once, and the other addresses are tried before the decision module is told
+/// that the list is unavailable.
 ///
-/// Danger: where lists are pushed nobody asks for a watch, the module being told unasked in the simulator; and what the agent
-/// has counts as told from the first moment on. So there one is opened from the start and whenever there is none.
-pub fn work(platform: &Platform, orders: &Receiver<()>) {
+/// Where lists are pushed, the decision module requests no watch, because in the simulator it receives lists unrequested. What
+/// the agent knows counts as notified from the first moment on. So there a watch is opened at the start and whenever none is
+/// open.
+pub fn run_watch_worker(platform: &Platform, orders: &Receiver<()>) {
     let (clock, pushed) = (&platform.courier.clock, platform.names.pushed);
-    let (mut pauses, mut again) = (ReconnectBackoff::default(), SilenceRetry::new(platform.names.couriers));
+    let (mut backoff, mut silence_retry) =
+        (ReconnectBackoff::default(), SilenceRetry::new(platform.names.couriers));
     while pushed || orders.recv().is_ok() {
         let mut opened;
         loop {
             opened = clock.now();
-            // One watch serves all wishes so far.
+            // One watch answers all requests that have been made so far.
             orders.try_iter().for_each(drop);
-            let addr = platform.site.addr();
+            let addr = platform.discovery.addr();
             let e = loop {
-                match watch(platform, &mut again) {
-                    Ended::Broke(e) => break e,
-                    Ended::NotOffered => {}
+                match watch(platform, &mut silence_retry) {
+                    WatchEnd::Failed(e) => break e,
+                    WatchEnd::NotOffered => {}
                 }
-                if let Err(e) = poll(platform, orders, &mut again) {
+                if let Err(e) = poll(platform, orders, &mut silence_retry) {
                     break e;
                 }
             };
             tracing::warn!(target: "discovery", "the watch on the list at {addr} ended: {e}");
-            // Where lists are pushed, `pauses` are short anyhow.
-            let own = again
+            // Where lists are pushed, the pauses of `backoff` are short in any case.
+            let retry_pause = silence_retry
                 .retry_within(errors::is_timeout(&e))
                 .filter(|_| !pushed)
-                .map(|span| platform.site.within(span));
-            let Some(pause) = platform.site.failed(addr).or(own) else { break };
-            rest(orders, pause);
+                .map(|span| platform.discovery.random_within(span));
+            let Some(pause) = platform.discovery.record_failure(addr).or(retry_pause) else { break };
+            wait(orders, pause);
         }
         platform.courier.report(Report::ListFailed(FRONT));
         if pushed {
-            rest(orders, platform.site.jittered(pauses.pause_after(clock.now() - opened)));
+            wait(orders, platform.discovery.jittered(backoff.pause_after(clock.now() - opened)));
         }
     }
 }
 
-/// A pause, which a wish or a move of discovery ends.
-fn rest(orders: &Receiver<()>, pause: Micros) {
+/// Waits for this time, or until a watch is requested; a replaced address requests one too.
+fn wait(orders: &Receiver<()>, pause: Micros) {
     let _ = orders.recv_timeout(Duration::from_micros(pause.0));
 }
 
-/// Reads the whole list once for each wish, by a connection of its own: the watch may be open meanwhile.
-pub fn read_again(platform: &Platform, orders: &Receiver<()>) {
+/// Thread function: reads the full list once for each request, on a connection of its own, because the watch may be open.
+pub fn run_read_worker(platform: &Platform, orders: &Receiver<()>) {
     while let Ok(()) = orders.recv() {
         orders.try_iter().for_each(drop);
-        if let Err(e) = read_whole(platform) {
+        if let Err(e) = read_full_list(platform) {
             tracing::warn!(target: "discovery", "the list could not be read again: {e}");
         }
     }
 }
 
-/// Calls discovery; the rest of the answer is waited for as the second says.
-fn open(platform: &Platform, query: &str) -> io::Result<(Arc<TcpStream>, ResponseDeadline)> {
+/// Sends a request to discovery. Returns the connection and the deadline for the response.
+fn send_request(platform: &Platform, query: &str) -> io::Result<(Arc<TcpStream>, ResponseDeadline)> {
     let clock = &platform.courier.clock;
-    let silence = ResponseDeadline::start(clock.now(), platform.names.pushed);
-    let until = clock.instant(silence.expires_at());
-    let stream = platform.site.connect(until)?;
+    let deadline = ResponseDeadline::start(clock.now(), platform.names.pushed);
+    let until = clock.instant(deadline.expires_at());
+    let stream = platform.discovery.connect(until)?;
     let host = stream.peer_addr()?;
     let request = format!("GET /registry/instances{query} HTTP/1.1\r\nHost: {host}\r\n\r\n");
     conn::write_all(&stream, request.as_bytes(), until)?;
-    Ok((stream, silence))
+    Ok((stream, deadline))
 }
 
-/// Takes in what comes before the deadline, or lies there if that is past: danger, a process that was stopped would throw
-/// away an answer that came in time.
-fn take_in(
-    platform: &Platform, stream: &TcpStream, buf: &mut [u8], silence: &mut ResponseDeadline,
-    lines: &mut Lines,
+/// Reads bytes that arrive by the deadline or, if it has passed, that have arrived already: a process that was stopped for a
+/// while must not discard a response that came in time.
+fn read_available(
+    platform: &Platform, stream: &TcpStream, buf: &mut [u8], deadline: &mut ResponseDeadline,
+    decoder: &mut LineDecoder,
 ) -> io::Result<Result<usize, String>> {
-    conn::peek(stream, &mut [0], platform.courier.clock.instant(silence.expires_at()))?;
-    // It is there, so this does not wait.
-    let n = conn::read(stream, buf, Instant::now() + AT_ONCE)?;
-    silence.bytes_received();
-    Ok(lines.push(&buf[..n]).map(|()| n))
+    conn::peek(stream, &mut [0], platform.courier.clock.instant(deadline.expires_at()))?;
+    // The bytes have arrived, so this does not wait.
+    let n = conn::read(stream, buf, Instant::now() + BUFFERED_READ_TIMEOUT)?;
+    deadline.bytes_received();
+    Ok(decoder.push(&buf[..n]).map(|()| n))
 }
 
-fn tell(platform: &Platform, line: &[u8]) -> io::Result<()> {
-    let read = ParsedList::parse(line).map_err(io::Error::other)?;
-    let word = read.into_update(Source::Discovery, &platform.places, platform.courier.clock.now());
-    if !word.unreadable.is_empty() {
-        let (count, first) = (word.unreadable.len(), &word.unreadable[0]);
+fn report_list(platform: &Platform, json: &[u8]) -> io::Result<()> {
+    let list = ParsedList::parse(json).map_err(io::Error::other)?;
+    let update =
+        list.into_update(Source::Discovery, &platform.kind_and_zone_names, platform.courier.clock.now());
+    if !update.unreadable.is_empty() {
+        let (count, first) = (update.unreadable.len(), &update.unreadable[0]);
         tracing::warn!(target: "discovery", "{count} entries of the list can't be read, {first:?} first");
     }
-    platform.courier.report(Report::List { front: FRONT, update: word });
+    platform.courier.report(Report::List { front: FRONT, update });
     Ok(())
 }
 
-fn watch(platform: &Platform, again: &mut SilenceRetry) -> Ended {
-    let Err(ended) = watched(platform, again);
-    if matches!(ended, Ended::NotOffered) {
-        again.record_answer();
+fn watch(platform: &Platform, silence_retry: &mut SilenceRetry) -> WatchEnd {
+    let Err(end) = read_watch(platform, silence_retry);
+    if matches!(end, WatchEnd::NotOffered) {
+        silence_retry.record_answer();
     }
-    ended
+    end
 }
 
-fn watched(platform: &Platform, again: &mut SilenceRetry) -> Result<std::convert::Infallible, Ended> {
+fn read_watch(
+    platform: &Platform, silence_retry: &mut SilenceRetry,
+) -> Result<std::convert::Infallible, WatchEnd> {
     let clock = &platform.courier.clock;
-    let (stream, mut silence) =
-        open(platform, &format!("?watch=1&after={}", platform.courier.list_version(FRONT)))?;
+    let (stream, mut deadline) =
+        send_request(platform, &format!("?watch=1&after={}", platform.courier.list_version(FRONT)))?;
     let mut buf = platform.pool.get();
-    let mut lines = Lines::default();
-    let mut told = false;
+    let mut decoder = LineDecoder::default();
+    let mut answered = false;
     loop {
-        let late = clock.now() >= silence.expires_at();
-        match take_in(platform, &stream, &mut buf, &mut silence, &mut lines)? {
-            Err(_) if matches!(lines.status, 400 | 404 | 405 | 501) => return Err(Ended::NotOffered),
-            Err(what) => return Err(io::Error::other(what).into()),
-            Ok(0) => return Err(Ended::Broke(ErrorKind::UnexpectedEof.into())),
+        let past_deadline = clock.now() >= deadline.expires_at();
+        match read_available(platform, &stream, &mut buf, &mut deadline, &mut decoder)? {
+            Err(_) if matches!(decoder.status, 400 | 404 | 405 | 501) => return Err(WatchEnd::NotOffered),
+            Err(e) => return Err(io::Error::other(e).into()),
+            Ok(0) => return Err(WatchEnd::Failed(ErrorKind::UnexpectedEof.into())),
             Ok(_) => {}
         }
-        let mut word = false;
-        while let Some(line) = lines.next_line() {
-            word = true;
-            silence.line_received(clock.now());
-            if !told {
-                told = true;
-                again.record_answer();
-                platform.site.answered();
+        let mut line_received = false;
+        while let Some(line) = decoder.next_line() {
+            line_received = true;
+            deadline.line_received(clock.now());
+            if !answered {
+                answered = true;
+                silence_retry.record_answer();
+                platform.discovery.record_success();
             }
             if line.iter().all(u8::is_ascii_whitespace) {
                 platform.courier.report(Report::ListUnchanged(FRONT));
             } else {
-                tell(platform, &line)?;
+                report_list(platform, &line)?;
             }
         }
-        if lines.ended {
-            // An answer of told length is a list that was read, not a watch.
-            if lines.body_length.is_none() {
-                return Err(Ended::Broke(ErrorKind::UnexpectedEof.into()));
+        if decoder.ended {
+            // A response with a `Content-Length` is a list and not a watch.
+            if decoder.body_remaining.is_none() {
+                return Err(WatchEnd::Failed(ErrorKind::UnexpectedEof.into()));
             }
-            let rest = lines.rest();
-            if !rest.iter().all(u8::is_ascii_whitespace) {
-                tell(platform, &rest)?;
+            let list = decoder.take_text();
+            if !list.iter().all(u8::is_ascii_whitespace) {
+                report_list(platform, &list)?;
             }
-            return Err(Ended::NotOffered);
+            return Err(WatchEnd::NotOffered);
         }
-        // Danger: a trickle always leaves something to be looked at late.
-        if late && !word {
-            return Err(Ended::Broke(ErrorKind::TimedOut.into()));
+        // Past the deadline only a complete line counts; otherwise a trickle of bytes would keep the watch open for ever.
+        if past_deadline && !line_received {
+            return Err(WatchEnd::Failed(ErrorKind::TimedOut.into()));
         }
     }
 }
 
-/// Reads the whole list again and again, for as long as all goes well and until it is time to ask for a watch again.
-/// Each courier's pauses have a jitter of their own.
-fn poll(platform: &Platform, orders: &Receiver<()>, again: &mut SilenceRetry) -> io::Result<()> {
-    let addr = platform.site.addr();
-    tracing::info!(target: "discovery", "{addr} offers no watch: its list is read every {} s", platform.poll.secs());
-    for _ in 0..READS_BETWEEN {
-        // Danger: by way of a watch that is not offered, the list would be a call and an answer later.
-        while let Err(e) = read_whole(platform) {
-            let own = platform.site.alone() && !platform.names.pushed && errors::is_timeout(&e);
-            let Some(span) = again.retry_within(errors::is_timeout(&e)).filter(|_| own) else {
+/// Reads the full list periodically, until a read fails, the address is replaced, or it is time to try a watch once more. The
+/// pauses have jitter, so that couriers do not ask in step.
+fn poll(platform: &Platform, orders: &Receiver<()>, silence_retry: &mut SilenceRetry) -> io::Result<()> {
+    let addr = platform.discovery.addr();
+    tracing::info!(target: "discovery", "{addr} offers no watch: its list is read every {} s", platform.poll_interval.secs());
+    for _ in 0..READS_PER_WATCH_ATTEMPT {
+        // Retried here, because an attempt to open a watch that is not offered would delay the list by a request and a
+        // response.
+        while let Err(e) = read_full_list(platform) {
+            let may_retry =
+                platform.discovery.is_only_address() && !platform.names.pushed && errors::is_timeout(&e);
+            let Some(span) = silence_retry.retry_within(errors::is_timeout(&e)).filter(|_| may_retry) else {
                 return Err(e);
             };
-            tracing::warn!(target: "discovery", "the list at {addr} was not told: {e}");
-            rest(orders, platform.site.within(span));
+            tracing::warn!(target: "discovery", "the list at {addr} could not be read: {e}");
+            wait(orders, platform.discovery.random_within(span));
         }
-        again.record_answer();
-        platform.site.answered();
-        // A wish that comes meanwhile is served by the next read; a move ends the reading.
-        rest(orders, platform.site.jittered(platform.poll));
-        if platform.site.addr() != addr {
+        silence_retry.record_answer();
+        platform.discovery.record_success();
+        // The next read also answers a request that is made meanwhile. A replaced address ends the polling.
+        wait(orders, platform.discovery.jittered(platform.poll_interval));
+        if platform.discovery.addr() != addr {
             return Ok(());
         }
     }
     Ok(())
 }
 
-/// Reads the whole list once.
-fn read_whole(platform: &Platform) -> io::Result<()> {
+/// Reads the full list once.
+fn read_full_list(platform: &Platform) -> io::Result<()> {
     let clock = &platform.courier.clock;
-    let (stream, mut silence) = open(platform, "")?;
+    let (stream, mut deadline) = send_request(platform, "")?;
     let mut buf = platform.pool.get();
-    let mut lines = Lines::default();
-    while !lines.ended {
-        let late = clock.now() >= silence.expires_at();
-        match take_in(platform, &stream, &mut buf, &mut silence, &mut lines)?.map_err(io::Error::other)? {
-            0 => lines.close().map_err(io::Error::other)?,
-            _ if late && !lines.ended => return Err(ErrorKind::TimedOut.into()),
+    let mut decoder = LineDecoder::default();
+    while !decoder.ended {
+        let past_deadline = clock.now() >= deadline.expires_at();
+        match read_available(platform, &stream, &mut buf, &mut deadline, &mut decoder)?
+            .map_err(io::Error::other)?
+        {
+            0 => decoder.end_of_stream().map_err(io::Error::other)?,
+            _ if past_deadline && !decoder.ended => return Err(ErrorKind::TimedOut.into()),
             _ => {}
         }
     }
-    tell(platform, &lines.rest())
+    report_list(platform, &decoder.take_text())
 }
--- a/src/net/platform/fetch.rs
+++ b/src/net/platform/fetch.rs
@@ -1,6 +1,6 @@
-//! Fetches: one attempt each, at one backend, over one connection. What fails is reported; nothing is sent again.
+//! Fetches: one attempt each, to one backend, over one connection. A failure is reported; nothing is retried here.
 
-use super::answer::{self, hear_others, Came};
+use super::response::{self, report_unread_waits_for, Received};
 use super::{batch, Platform};
 use crate::api::Micros;
 use crate::core::{Answer, End, Fetch, Report};
@@ -12,8 +12,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-/// Takes orders for as long as there are any.
-pub fn work(platform: &Platform, orders: &Receiver<Vec<Fetch>>) {
+/// Thread function: carries out ordered calls until the channel is closed.
+pub fn run_worker(platform: &Platform, orders: &Receiver<Vec<Fetch>>) {
     for mut call in orders {
         match call.pop() {
             Some(fetch) if call.is_empty() => run(platform, fetch),
@@ -26,97 +26,104 @@
     }
 }
 
-struct Done {
+struct AttemptResult {
     end: End,
     latency: Micros,
     load: Vec<f32>,
-    /// The connection, if another fetch can use it.
-    spare: Option<Arc<TcpStream>>,
+    /// The connection, if another fetch can reuse it.
+    reusable_stream: Option<Arc<TcpStream>>,
 }
 
-impl Done {
-    fn without_answer(end: End) -> Done {
-        Done { end, latency: Micros(0), load: Vec::new(), spare: None }
+impl AttemptResult {
+    fn without_response(end: End) -> AttemptResult {
+        AttemptResult { end, latency: Micros(0), load: Vec::new(), reusable_stream: None }
     }
 }
 
-/// One fetch, by a call of its own.
+/// Carries out one fetch in a call of its own.
 pub fn run(platform: &Platform, fetch: Fetch) {
-    let mut done = attempt(platform, &fetch);
-    let called_off = platform.conns.fetch_ended(fetch.msg, fetch.attempt);
-    if called_off && done.end == End::Broke {
-        done.end = End::CalledOff;
+    let mut result = attempt(platform, &fetch);
+    let cancelled = platform.conns.fetch_ended(fetch.msg, fetch.attempt);
+    if cancelled && result.end == End::Broke {
+        result.end = End::CalledOff;
     }
-    if let (Some(spare), false) = (done.spare, called_off) {
-        platform.conns.keep(&fetch.backend, spare, 0);
+    if let (Some(reusable_stream), false) = (result.reusable_stream, cancelled) {
+        platform.conns.keep(&fetch.backend, reusable_stream, 0);
     }
-    let (end, latency, load, said) = (done.end, done.latency, done.load, String::new());
-    platform.courier.report(Report::Done { fetch, end, latency, load, reply: said });
+    let (end, latency, load, reply) = (result.end, result.latency, result.load, String::new());
+    platform.courier.report(Report::Done { fetch, end, latency, load, reply });
 }
 
-fn attempt(platform: &Platform, fetch: &Fetch) -> Done {
+fn attempt(platform: &Platform, fetch: &Fetch) -> AttemptResult {
     let clock = &platform.courier.clock;
     let until = clock.instant(fetch.deadline);
-    let (stream, reused) = match connected(platform, fetch, until) {
-        Ok(connected) => connected,
-        Err(end) => return Done::without_answer(end),
+    let (stream, reused) = match connect(platform, fetch, until) {
+        Ok(connection) => connection,
+        Err(end) => return AttemptResult::without_response(end),
     };
     if !platform.conns.fetch_connected(fetch.msg, fetch.attempt, &stream) {
-        return Done::without_answer(End::NotBegun);
+        return AttemptResult::without_response(End::NotBegun);
     }
     let mut buf = platform.pool.get();
-    let left = (fetch.deadline - clock.now()).0 / 1000;
-    let Some(len) = (left > 0).then(|| write_request(&mut buf, fetch, left)).flatten() else {
-        return Done { spare: Some(stream), ..Done::without_answer(End::NotBegun) };
+    let left_ms = (fetch.deadline - clock.now()).0 / 1000;
+    let Some(len) = (left_ms > 0).then(|| write_request(&mut buf, fetch, left_ms)).flatten() else {
+        return AttemptResult {
+            reusable_stream: Some(stream),
+            ..AttemptResult::without_response(End::NotBegun)
+        };
     };
-    // The last look before the first byte: connecting may have taken long, and so may the look itself.
-    hear_others(platform, fetch);
-    let goes = platform.courier.report(Report::Begin(fetch.clone())) == Answer::MayBegin(true);
-    if !goes || hear_others(platform, fetch) {
-        return Done { spare: Some(stream), ..Done::without_answer(End::NotBegun) };
+    // The last check before the first byte, because connecting may have taken long. It is repeated after the core agreed,
+    // because the check itself may take long.
+    report_unread_waits_for(platform, fetch);
+    let may_begin = platform.courier.report(Report::Begin(fetch.clone())) == Answer::MayBegin(true);
+    if !may_begin || report_unread_waits_for(platform, fetch) {
+        return AttemptResult {
+            reusable_stream: Some(stream),
+            ..AttemptResult::without_response(End::NotBegun)
+        };
     }
-    // Danger: an endpoint that has ended a connection that idled, or has said something on it that nobody asked, does so at any
-    // moment; what is written then counts as a call that may have run, or takes a stray answer for its own.
+    // An endpoint may at any moment close a connection that was idle, or send an unsolicited response on it. A request
+    // written then would count as a call that may have taken effect, or be matched with the wrong response.
     if reused && !conn::is_idle(&stream) {
-        return Done::without_answer(End::NotBegun);
+        return AttemptResult::without_response(End::NotBegun);
     }
     let sent = Instant::now();
     if conn::write_all(&stream, &buf[..len], until).is_err() {
-        // Its last byte was never written, so it never ran. A connection that was idle and broke says nothing
-        // of its endpoint: it may have been closed for its idleness just now.
-        return Done::without_answer(if reused { End::NotBegun } else { End::NotConnected });
+        // The last byte was not written, so the call did not take effect. The failure of a connection that was idle is no
+        // evidence about its endpoint, which may just have closed it for being idle.
+        return AttemptResult::without_response(if reused { End::NotBegun } else { End::NotConnected });
     }
     platform.courier.board.count_written();
     platform.conns.request_written(fetch.msg, fetch.attempt, fetch.req.dest);
-    let (came, at) = answer::hear(platform, fetch, &stream, &mut buf, until, false);
-    let latency = Micros((at - sent).as_micros() as u64);
-    let (end, load, reusable) = match came {
-        Came::Nothing(end) => (end, Vec::new(), false),
-        // A first line that says 200 is a delivery whatever follows.
-        Came::Unread { says_200: true, .. } => (End::Delivered, Vec::new(), false),
-        Came::Unread { wait, .. } => (End::Spoilt(wait), Vec::new(), false),
-        Came::Whole { head, .. } => (answer::end_of(&head), head.load, !head.close),
-        Came::Head(head) => (answer::end_of(&head), head.load, false),
+    let (received, received_at) = response::read_response(platform, fetch, &stream, &mut buf, until, false);
+    let latency = Micros((received_at - sent).as_micros() as u64);
+    let (end, load, reusable) = match received {
+        Received::Nothing(end) => (end, Vec::new(), false),
+        // A status line that says 200 is a delivery whatever follows.
+        Received::Invalid { status_line_is_200: true, .. } => (End::Delivered, Vec::new(), false),
+        Received::Invalid { retry_after, .. } => (End::Spoilt(retry_after), Vec::new(), false),
+        Received::Complete { head, .. } => (response::end_from_head(&head), head.load, !head.close),
+        Received::HeadOnly(head) => (response::end_from_head(&head), head.load, false),
     };
-    Done { end, latency, load, spare: reusable.then_some(stream) }
+    AttemptResult { end, latency, load, reusable_stream: reusable.then_some(stream) }
 }
 
-/// A connection, and whether it has served before; else how the fetch ends.
-pub fn connected(platform: &Platform, fetch: &Fetch, until: Instant) -> Result<(Arc<TcpStream>, bool), End> {
+/// A connection, and whether it was used before; otherwise how the fetch ends.
+pub fn connect(platform: &Platform, fetch: &Fetch, until: Instant) -> Result<(Arc<TcpStream>, bool), End> {
     if let Some((stream, _)) = platform.conns.reuse(&fetch.backend) {
         return Ok((stream, true));
     }
     let clock = &platform.courier.clock;
-    let up_by = until.min(clock.instant(clock.now() + platform.names.connect));
-    match platform.door.connect(fetch.backend.addr, up_by) {
+    let connect_by = until.min(clock.instant(clock.now() + platform.names.connect));
+    match platform.acceptor.connect(fetch.backend.addr, connect_by) {
         Ok(stream) => Ok((Arc::new(stream), false)),
-        // Its own want says nothing of the endpoint, and costs the message no attempt.
+        // A resource that this process lacks is no evidence about the endpoint and costs the message no attempt.
         Err(e) if errors::is_local(&e) => Err(End::NotBegun),
         Err(_) => Err(End::NotConnected),
     }
 }
 
-/// The request's bytes; `None` if they don't fit, which no req that was taken on does.
+/// Writes the request and returns its length; `None`: it does not fit, which happens to no accepted req.
 fn write_request(buf: &mut PooledBuffer, fetch: &Fetch, left_ms: u64) -> Option<usize> {
     let (req, size) = (&fetch.req, buf.len());
     let mut rest = &mut buf[..];
--- a/src/net/platform/http.rs
+++ b/src/net/platform/http.rs
@@ -1,52 +1,52 @@
-//! HTTP/1.1 heads, read with httparse: requests of clients, answers of endpoints and of discovery.
+//! Parsing of HTTP/1.1 heads with httparse: requests of clients, responses of endpoints and of discovery.
 
 use crate::api::Micros;
 use crate::net::pool::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 
-const HEADERS_MOST: usize = 64;
-/// The longest told wait that is believed; no message lives so long.
-const WAIT_MOST: Micros = Micros(600_000_000);
+const MAX_HEADERS: usize = 64;
+/// Upper bound for the wait that a response may demand. No message has a longer deadline.
+const MAX_RETRY_AFTER: Micros = Micros(600_000_000);
 
-/// Why a request can't be read; the status that says so.
+/// Why a message cannot be parsed. Each reason has the status with which a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Bad {
-    /// Malformed.
+pub enum ParseError {
+    /// The head, or the framing of the body, is malformed or ambiguous.
     Malformed,
-    /// Its length is not told.
-    NoLength,
-    /// The body is too long.
-    Body,
-    /// The head is too long.
-    Head,
+    /// The request needs a `Content-Length`, which it lacks, or it uses `Transfer-Encoding`, which is not accepted.
+    LengthRequired,
+    /// The body is longer than `MAX_BODY_BYTES`.
+    BodyTooLarge,
+    /// The head is longer than `MAX_HEAD_BYTES` or has too many headers.
+    HeadTooLarge,
 }
 
-impl Bad {
-    /// The status line's end.
+impl ParseError {
+    /// Status code and reason phrase.
     pub fn status(self) -> &'static str {
         match self {
-            Bad::Malformed => "400 Bad Request",
-            Bad::NoLength => "411 Length Required",
-            Bad::Body => "413 Content Too Large",
-            Bad::Head => "431 Request Header Fields Too Large",
+            ParseError::Malformed => "400 Bad Request",
+            ParseError::LengthRequired => "411 Length Required",
+            ParseError::BodyTooLarge => "413 Content Too Large",
+            ParseError::HeadTooLarge => "431 Request Header Fields Too Large",
         }
     }
 }
 
-/// The head of a request, as places in its buffer.
+/// The head of a request, with the lengths that locate its body in the buffer.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct RequestHead {
-    /// Bytes of the head.
-    pub head: usize,
-    /// Bytes of the body.
-    pub body: usize,
+    /// Length of the head in bytes, with the empty line that ends it.
+    pub head_len: usize,
+    /// Length of the body in bytes.
+    pub body_len: usize,
     /// Method.
     pub method: String,
     /// Path with its query.
     pub path: String,
-    /// The client wants the connection closed.
+    /// Whether the connection closes after the response.
     pub close: bool,
-    /// The client waits for a word before it sends the body.
-    pub expects: bool,
+    /// Whether the client waits for `100 Continue` before it sends the body.
+    pub expects_continue: bool,
     /// `Req-Id`
     pub id: Option<String>,
     /// `Req-Kind`
@@ -61,222 +61,230 @@
     pub key: Option<String>,
 }
 
-/// Reads a request's head; `None`: more bytes are needed.
-pub fn request(bytes: &[u8]) -> Result<Option<RequestHead>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// Parses the head of a request; `None`: more bytes are needed.
+pub fn parse_request(bytes: &[u8]) -> Result<Option<RequestHead>, ParseError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Request::new(&mut headers);
-    let head = match parsed.parse(bytes) {
-        Ok(httparse::Status::Complete(n)) if n > MAX_HEAD_BYTES => return Err(Bad::Head),
+    let head_len = match parsed.parse(bytes) {
+        Ok(httparse::Status::Complete(n)) if n > MAX_HEAD_BYTES => return Err(ParseError::HeadTooLarge),
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => return Err(Bad::Head),
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => {
+            return Err(ParseError::HeadTooLarge)
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(Bad::Head),
-        Err(_) => return Err(Bad::Malformed),
+        Err(httparse::Error::TooManyHeaders) => return Err(ParseError::HeadTooLarge),
+        Err(_) => return Err(ParseError::Malformed),
     };
-    let mut out = RequestHead {
-        head,
+    let mut request = RequestHead {
+        head_len,
         method: parsed.method.unwrap_or_default().to_owned(),
         path: parsed.path.unwrap_or_default().to_owned(),
         close: parsed.version == Some(0),
         ..RequestHead::default()
     };
-    let mut length = None;
+    let mut body_len = None;
     for header in parsed.headers.iter() {
-        let value = std::str::from_utf8(header.value).map_err(|_| Bad::Malformed)?.trim();
+        let value = std::str::from_utf8(header.value).map_err(|_| ParseError::Malformed)?.trim();
         let is = |name: &str| header.name.eq_ignore_ascii_case(name);
         if is("content-length") {
-            let n = digits(value).ok_or(Bad::Malformed)?;
-            // Two lengths that differ make two readers see two requests.
-            if length.is_some_and(|l| l != n) {
-                return Err(Bad::Malformed);
+            let n = parse_digits(value).ok_or(ParseError::Malformed)?;
+            // With two different lengths, another parser could see other request boundaries (request smuggling).
+            if body_len.is_some_and(|earlier| earlier != n) {
+                return Err(ParseError::Malformed);
             }
-            length = Some(n);
+            body_len = Some(n);
         } else if is("transfer-encoding") {
-            return Err(Bad::NoLength);
+            return Err(ParseError::LengthRequired);
         } else if is("connection") {
-            out.close |= has_token(value, "close");
+            request.close |= has_token(value, "close");
         } else if is("expect") {
-            out.expects = value.eq_ignore_ascii_case("100-continue");
+            request.expects_continue = value.eq_ignore_ascii_case("100-continue");
         } else if is("req-id") {
-            out.id = Some(value.to_owned());
+            request.id = Some(value.to_owned());
         } else if is("req-kind") {
-            out.class = Some(value.to_owned());
+            request.class = Some(value.to_owned());
         } else if is("req-owner") {
-            out.tenant = Some(value.to_owned());
+            request.tenant = Some(value.to_owned());
         } else if is("req-deadline-ms") {
-            out.deadline_ms = Some(digits(value).ok_or(Bad::Malformed)?);
+            request.deadline_ms = Some(parse_digits(value).ok_or(ParseError::Malformed)?);
         } else if is("x-addressing") {
-            out.dest = addressing(value);
+            request.dest = parse_addressing(value);
         } else if is("idempotency-key") {
-            out.key = Some(value.to_owned());
+            request.key = Some(value.to_owned());
         }
     }
-    if length.is_none() && matches!(out.method.as_str(), "POST" | "PUT" | "PATCH") {
-        return Err(Bad::NoLength);
+    if body_len.is_none() && matches!(request.method.as_str(), "POST" | "PUT" | "PATCH") {
+        return Err(ParseError::LengthRequired);
     }
-    out.body = usize::try_from(length.unwrap_or(0)).ok().filter(|n| *n <= MAX_BODY_BYTES).ok_or(Bad::Body)?;
-    Ok(Some(out))
+    request.body_len = usize::try_from(body_len.unwrap_or(0))
+        .ok()
+        .filter(|n| *n <= MAX_BODY_BYTES)
+        .ok_or(ParseError::BodyTooLarge)?;
+    Ok(Some(request))
 }
 
-/// Digits only: `parse` alone would take a sign.
-fn digits(value: &str) -> Option<u64> {
+/// Parses a number of digits only; `str::parse` alone accepts a sign.
+fn parse_digits(value: &str) -> Option<u64> {
     value.bytes().all(|b| b.is_ascii_digit()).then(|| value.parse().ok()).flatten()
 }
 
 fn has_token(value: &str, token: &str) -> bool {
-    value.split(',').any(|t| t.trim().eq_ignore_ascii_case(token))
+    value.split(',').any(|item| item.trim().eq_ignore_ascii_case(token))
 }
 
-/// `dest=7`, alone or among others.
-fn addressing(value: &str) -> Option<u16> {
-    let pairs = value.split([',', ';']).filter_map(|p| p.trim().split_once('='));
-    pairs.filter(|(k, _)| k.trim() == "dest").find_map(|(_, v)| v.trim().parse().ok())
+/// The destination in an `X-Addressing` value: `dest=7`, alone or among other pairs.
+fn parse_addressing(value: &str) -> Option<u16> {
+    let pairs = value.split([',', ';']).filter_map(|pair| pair.trim().split_once('='));
+    pairs.filter(|(name, _)| name.trim() == "dest").find_map(|(_, value)| value.trim().parse().ok())
 }
 
-/// How the body of an answer ends.
+/// How the end of a response body is found.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Body {
-    /// After so many bytes.
+pub enum BodyFraming {
+    /// By its length in bytes.
     Length(usize),
-    /// In chunks.
+    /// By the last chunk of the chunked transfer coding.
     Chunked,
-    /// With the connection.
-    Close,
+    /// By the end of the connection.
+    UntilClose,
 }
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Debug, Clone, PartialEq)]
-pub struct AnswerHead {
-    /// Bytes of the head.
-    pub head: usize,
-    /// Status.
+pub struct ResponseHead {
+    /// Length of the head in bytes, with the empty line that ends it.
+    pub head_len: usize,
+    /// Status code.
     pub status: u16,
-    /// How its body ends.
-    pub body: Body,
-    /// The connection closes after it.
+    /// How the end of the body is found.
+    pub body: BodyFraming,
+    /// Whether the connection closes after this response.
     pub close: bool,
     /// `X-RateLimit-Wait-Ms`
-    pub wait: Option<Micros>,
+    pub retry_after: Option<Micros>,
     /// `X-Over-Slots`
     pub over_slots: bool,
-    /// `Srv-Load`, by the names asked for; empty where the answer has none.
+    /// The values of `Srv-Load` in the order of the requested names; empty without a valid load report.
     pub load: Vec<f32>,
 }
 
-/// Reads an answer's head; `None`: more bytes are needed. An interim answer (1xx) is for the caller to skip.
-pub fn answer(bytes: &[u8], load_names: &[String]) -> Result<Option<AnswerHead>, Bad> {
-    let mut headers = [httparse::EMPTY_HEADER; HEADERS_MOST];
+/// Parses the head of a response; `None`: more bytes are needed. The caller skips interim responses (1xx).
+pub fn parse_response(bytes: &[u8], load_names: &[String]) -> Result<Option<ResponseHead>, ParseError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut headers);
-    let head = match parsed.parse(bytes) {
+    let head_len = match parsed.parse(bytes) {
         Ok(httparse::Status::Complete(n)) => n,
-        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => return Err(Bad::Head),
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD_BYTES => {
+            return Err(ParseError::HeadTooLarge)
+        }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(_) => return Err(Bad::Malformed),
+        Err(_) => return Err(ParseError::Malformed),
     };
     let status = parsed.code.unwrap_or(0);
-    let mut out = AnswerHead {
-        head,
+    let mut response = ResponseHead {
+        head_len,
         status,
-        body: Body::Close,
+        body: BodyFraming::UntilClose,
         close: parsed.version == Some(0),
-        wait: None,
+        retry_after: None,
         over_slots: false,
         load: Vec::new(),
     };
     let (mut length, mut chunked) = (None, false);
     for header in parsed.headers.iter() {
-        // What is not text is no length and no number that is looked for here.
+        // A value that is not UTF-8 matches none of the lengths and numbers expected here.
         let value = std::str::from_utf8(header.value).unwrap_or("\0");
         let (value, is) = (value.trim(), |name: &str| header.name.eq_ignore_ascii_case(name));
         if is("content-length") {
-            let n = digits(value).and_then(|n| usize::try_from(n).ok()).ok_or(Bad::Malformed)?;
-            if length.is_some_and(|l| l != n) {
-                return Err(Bad::Malformed);
+            let n = parse_digits(value).and_then(|n| usize::try_from(n).ok()).ok_or(ParseError::Malformed)?;
+            if length.is_some_and(|earlier| earlier != n) {
+                return Err(ParseError::Malformed);
             }
             length = Some(n);
         } else if is("transfer-encoding") {
             chunked = value.eq_ignore_ascii_case("chunked");
             if !chunked {
-                return Err(Bad::Malformed);
+                return Err(ParseError::Malformed);
             }
         } else if is("connection") {
-            out.close |= has_token(value, "close");
+            response.close |= has_token(value, "close");
         } else if is("x-ratelimit-wait-ms") {
             let ms = value.parse().ok().filter(|ms: &f64| ms.is_finite() && *ms > 0.0);
-            out.wait = ms.map(|ms| Micros::from_secs(ms / 1e3).min(WAIT_MOST));
+            response.retry_after = ms.map(|ms| Micros::from_secs(ms / 1e3).min(MAX_RETRY_AFTER));
         } else if is("x-over-slots") {
-            out.over_slots = value == "1";
+            response.over_slots = value == "1";
         } else if is("srv-load") {
-            out.load = load(value, load_names);
+            response.load = parse_load(value, load_names);
         }
     }
-    out.body = match (status, length, chunked) {
-        (_, Some(_), true) => return Err(Bad::Malformed),
-        (100..=199 | 204 | 304, ..) => Body::Length(0),
-        (_, _, true) => Body::Chunked,
-        (_, Some(n), false) => Body::Length(n),
-        (_, None, false) => Body::Close,
+    response.body = match (status, length, chunked) {
+        (_, Some(_), true) => return Err(ParseError::Malformed),
+        (100..=199 | 204 | 304, ..) => BodyFraming::Length(0),
+        (_, _, true) => BodyFraming::Chunked,
+        (_, Some(n), false) => BodyFraming::Length(n),
+        (_, None, false) => BodyFraming::UntilClose,
     };
-    out.close |= out.body == Body::Close;
-    Ok(Some(out))
+    response.close |= response.body == BodyFraming::UntilClose;
+    Ok(Some(response))
 }
 
-/// The first line of an answer is there and says 200, whatever follows.
-pub fn says_200(bytes: &[u8]) -> bool {
+/// Whether the status line is complete and its status is 200, whatever follows.
+pub fn status_line_is_200(bytes: &[u8]) -> bool {
     let line =
         bytes.split(|b| *b == b'\n').next().filter(|line| line.len() < bytes.len()).unwrap_or_default();
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     matches!(line.strip_prefix(b"HTTP/1.1 200").or(line.strip_prefix(b"HTTP/1.0 200")), Some([] | [b' ', ..]))
 }
 
-impl AnswerHead {
-    /// Where the answer ends that these bytes begin with; `None`: it has not ended yet. `ended`: nothing more comes.
-    pub fn end(&self, bytes: &[u8], ended: bool) -> Result<Option<usize>, Bad> {
-        let body = bytes.get(self.head..).ok_or(Bad::Malformed)?;
+impl ResponseHead {
+    /// Length of the response that starts at the first of these bytes; `None`: it is incomplete. `eof`: the connection
+    /// has ended, no more bytes will arrive.
+    pub fn response_len(&self, bytes: &[u8], eof: bool) -> Result<Option<usize>, ParseError> {
+        let body = bytes.get(self.head_len..).ok_or(ParseError::Malformed)?;
         match self.body {
-            Body::Length(n) if n > MAX_BODY_BYTES => Err(Bad::Body),
-            Body::Length(n) => Ok((body.len() >= n).then_some(self.head + n)),
-            Body::Close => Ok(ended.then_some(bytes.len())),
-            Body::Chunked => Ok(chunks(body)?.map(|n| self.head + n)),
+            BodyFraming::Length(n) if n > MAX_BODY_BYTES => Err(ParseError::BodyTooLarge),
+            BodyFraming::Length(n) => Ok((body.len() >= n).then_some(self.head_len + n)),
+            BodyFraming::UntilClose => Ok(eof.then_some(bytes.len())),
+            BodyFraming::Chunked => Ok(chunked_len(body)?.map(|n| self.head_len + n)),
         }
     }
 }
 
-impl AnswerHead {
-    /// The body of a whole answer, without what stands round its chunks.
-    pub fn content(&self, bytes: &[u8]) -> Option<Vec<u8>> {
-        let mut body = bytes.get(self.head..)?;
-        if self.body != Body::Chunked {
+impl ResponseHead {
+    /// The body of a complete response, decoded if it is chunked; `None` if a chunk is malformed or too long.
+    pub fn decoded_body(&self, bytes: &[u8]) -> Option<Vec<u8>> {
+        let mut body = bytes.get(self.head_len..)?;
+        if self.body != BodyFraming::Chunked {
             return Some(body.to_vec());
         }
-        let mut content = Vec::with_capacity(body.len());
-        while let Ok(httparse::Status::Complete((line, size))) = httparse::parse_chunk_size(body) {
+        let mut decoded = Vec::with_capacity(body.len());
+        while let Ok(httparse::Status::Complete((line_len, size))) = httparse::parse_chunk_size(body) {
             let size = usize::try_from(size).ok().filter(|n| *n <= MAX_BODY_BYTES)?;
             if size == 0 {
-                return Some(content);
+                return Some(decoded);
             }
-            content.extend_from_slice(body.get(line..line + size)?);
-            body = body.get(line + size + 2..)?;
+            decoded.extend_from_slice(body.get(line_len..line_len + size)?);
+            body = body.get(line_len + size + 2..)?;
         }
         None
     }
 }
 
-/// Where a chunked body ends. It has no trailer, or none that is understood.
-fn chunks(body: &[u8]) -> Result<Option<usize>, Bad> {
+/// Length of a chunked body; `None`: it is incomplete. A body with a trailer section is rejected as malformed.
+fn chunked_len(body: &[u8]) -> Result<Option<usize>, ParseError> {
     let mut at = 0;
     loop {
         let size = match httparse::parse_chunk_size(&body[at..]) {
-            Ok(httparse::Status::Complete((line, size))) => {
-                at += line;
-                usize::try_from(size).ok().filter(|n| *n <= MAX_BODY_BYTES).ok_or(Bad::Body)?
+            Ok(httparse::Status::Complete((line_len, size))) => {
+                at += line_len;
+                usize::try_from(size).ok().filter(|n| *n <= MAX_BODY_BYTES).ok_or(ParseError::BodyTooLarge)?
             }
             Ok(httparse::Status::Partial) => return Ok(None),
-            Err(_) => return Err(Bad::Malformed),
+            Err(_) => return Err(ParseError::Malformed),
         };
         match body.get(at + size..at + size + 2) {
             Some(b"\r\n") => at += size + 2,
-            Some(_) => return Err(Bad::Malformed),
+            Some(_) => return Err(ParseError::Malformed),
             None => return Ok(None),
         }
         if size == 0 {
@@ -285,14 +293,16 @@
     }
 }
 
-/// `TEXT x0=0.4, x1=25` in the order of the names; what is not told is 0. Danger: a report with one value that can't
-/// be read is spoilt, and taken for a 0 it would say that there is no limit, or nothing left of it.
-fn load(value: &str, names: &[String]) -> Vec<f32> {
-    let told: Vec<(&str, &str)> = value.split([' ', ',']).filter_map(|p| p.split_once('=')).collect();
-    let number = |v: &str| v.parse().ok().filter(|v: &f32| (0.0..1e6).contains(v));
-    let of = |name: &String| told.iter().find(|(k, _)| k == name).map_or(Some(0.0), |(_, v)| number(v));
-    if !told.iter().any(|(k, _)| names.iter().any(|name| name == k)) {
+/// Parses a load report, `TEXT x0=0.4, x1=25`, into values in the order of the names; a missing value is 0. A report with a
+/// value that cannot be parsed is ignored as a whole: read as 0, the value would mean that there is no limit, or that
+/// nothing is left of it.
+fn parse_load(value: &str, names: &[String]) -> Vec<f32> {
+    let pairs: Vec<(&str, &str)> = value.split([' ', ',']).filter_map(|pair| pair.split_once('=')).collect();
+    let number = |text: &str| text.parse().ok().filter(|number: &f32| (0.0..1e6).contains(number));
+    let value_of =
+        |name: &String| pairs.iter().find(|(key, _)| key == name).map_or(Some(0.0), |(_, text)| number(text));
+    if !pairs.iter().any(|(key, _)| names.iter().any(|name| name == key)) {
         return Vec::new();
     }
-    names.iter().map(of).collect::<Option<_>>().unwrap_or_default()
+    names.iter().map(value_of).collect::<Option<_>>().unwrap_or_default()
 }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -1,15 +1,15 @@
-//! The platform's front: reqs, fetches and notices as HTTP/1.1, the list of backends by a watch.
+//! The platform's protocol frontend: reqs, fetches and notices over HTTP/1.1, and the list of backends from discovery.
 
-pub mod answer;
 pub mod batch;
 pub mod discovery;
+pub mod discovery_connections;
 pub mod fetch;
 pub mod http;
-pub mod lines;
+pub mod line_decoder;
 pub mod notices;
 pub mod probe;
+pub mod response;
 pub mod session;
-pub mod site;
 
 use super::acceptor::{AcceptorHandle, BufferLimits, ConnectionAcceptor, ExportedConnection};
 use super::conn::FetchConnections;
@@ -24,100 +24,102 @@
 use crate::register::list::KindAndZoneNames;
 use crate::settings::NetworkSettings;
 use crossbeam_channel::{bounded, unbounded};
-use site::Site;
+use discovery_connections::DiscoveryConnections;
 use std::io;
 use std::net::TcpListener;
 use std::os::fd::OwnedFd;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of this front in the journal.
+/// Number of this frontend in the journal.
 pub const FRONT: u8 = 0;
-/// Share of an endpoint's idle limit for which a connection is kept.
-const KEEP_SHARE: f64 = 0.8;
+/// Fraction of an endpoint's idle timeout for which an idle connection to it is kept.
+const IDLE_KEEP_FRACTION: f64 = 0.8;
 
-/// Descriptors for all that is no session and no connection to an endpoint: journal, listener, discovery, log.
-const OTHERS: usize = 32;
-/// Memory that a session takes that holds nothing, in the process and in the kernel, and the share of all memory for
-/// sessions and for what is half sent.
+/// Descriptors for everything but client sessions and connections to endpoints: journal, listener, discovery, log.
+const OTHER_DESCRIPTORS: usize = 32;
+/// Memory of a session without buffered data, in the process and in the kernel.
 const SESSION_BYTES: usize = 8 * 1024;
-const SESSIONS_SHARE: usize = 4;
-const HELD_SHARE: usize = 4;
-/// Buffers that are kept for their next use.
-const POOL_KEEPS: usize = 32;
+/// All memory divided by this is the share for sessions.
+const SESSIONS_MEMORY_DIVISOR: usize = 4;
+/// All memory divided by this is the share for requests and responses that are partly received or sent.
+const HELD_MEMORY_DIVISOR: usize = 4;
+/// Idle buffers that the pool keeps for reuse.
+const POOLED_BUFFERS: usize = 32;
 
-/// What the threads of this front share.
+/// State shared by the threads of this frontend.
 pub struct Platform {
     /// The core.
     pub courier: Arc<Courier>,
-    /// Names on the sockets.
+    /// Names that are used on the wire, and other settings of the network code.
     pub names: NetworkSettings,
-    /// Names in lists.
-    pub places: KindAndZoneNames,
-    /// Some kind of destination takes several messages in a call.
+    /// Names of kinds and zones in discovery's lists.
+    pub kind_and_zone_names: KindAndZoneNames,
+    /// Whether any kind of destination accepts several messages in one call.
     pub batches: bool,
-    /// How often the whole list is read where there is no watch.
-    pub poll: Micros,
+    /// Interval at which the full list is read where discovery offers no watch.
+    pub poll_interval: Micros,
     /// The buffers.
     pub pool: BufferPool,
-    /// The fetches' connections.
+    /// Connections to endpoints.
     pub conns: Arc<FetchConnections>,
-    /// Where discovery is, and the connections to it.
-    pub site: Site,
-    /// Client sessions.
-    pub door: AcceptorHandle,
-    rules: Rules,
-    held_most: usize,
+    /// Discovery's addresses and the connections to it.
+    pub discovery: DiscoveryConnections,
+    /// Handle of the acceptor of client sessions; it also establishes connections.
+    pub acceptor: AcceptorHandle,
+    admission_rules: Rules,
+    max_held_bytes: usize,
 }
 
-/// Starts the front's threads, all but the listener's.
+/// Starts the threads of the frontend, except the listener's.
 pub fn start(
-    courier: &Arc<Courier>, bounds: Bounds, names: NetworkSettings, slots: usize, discovery: AddressRotation,
-    poll: Micros, admission: &FrontAdmission,
+    courier: &Arc<Courier>, bounds: Bounds, names: NetworkSettings, slots: usize,
+    discovery_addrs: AddressRotation, poll_interval: Micros, admission: &FrontAdmission,
 ) -> io::Result<(Arc<Platform>, Frontend)> {
-    let keep = Duration::from_secs_f64(names.conn_idle.secs() * KEEP_SHARE);
-    let idle = bounds.sockets / 8;
-    let conns = Arc::new(FetchConnections::new(keep, idle, b""));
-    // Danger: clients that asked once and stay for their 2 s come by hundreds. All that is not needed is theirs.
-    let free = bounds.sockets.saturating_sub(idle + slots + OTHERS).max(bounds.sockets / 3);
-    let places = free.min(bounds.memory / SESSIONS_SHARE / SESSION_BYTES);
+    let keep = Duration::from_secs_f64(names.conn_idle.secs() * IDLE_KEEP_FRACTION);
+    let max_idle = bounds.sockets / 8;
+    let conns = Arc::new(FetchConnections::new(keep, max_idle, b""));
+    // Hundreds of clients may send one request and keep the connection open for their 2 s, so sessions get every descriptor
+    // that nothing else needs.
+    let free = bounds.sockets.saturating_sub(max_idle + slots + OTHER_DESCRIPTORS).max(bounds.sockets / 3);
+    let max_sessions = free.min(bounds.memory / SESSIONS_MEMORY_DIVISOR / SESSION_BYTES);
     let (watch, watch_orders) = unbounded();
-    let door = AcceptorHandle::new();
+    let acceptor = AcceptorHandle::new();
     let platform = Arc::new(Platform {
         courier: courier.clone(),
-        places: names.places(),
+        kind_and_zone_names: names.places(),
         batches: names.batches,
         names,
-        poll,
-        pool: BufferPool::new(POOL_KEEPS),
+        poll_interval,
+        pool: BufferPool::new(POOLED_BUFFERS),
         conns: conns.clone(),
-        site: Site::new(discovery, watch.clone(), door.clone()),
-        door,
-        rules: admission.rules(places),
-        held_most: bounds.memory / HELD_SHARE,
+        discovery: DiscoveryConnections::new(discovery_addrs, watch.clone(), acceptor.clone()),
+        acceptor,
+        admission_rules: admission.rules(max_sessions),
+        max_held_bytes: bounds.memory / HELD_MEMORY_DIVISOR,
     });
     let (fetches, fetch_orders) = unbounded();
     for _ in 0..slots {
         let (platform, orders) = (platform.clone(), fetch_orders.clone());
-        spawn("fetch", move || fetch::work(&platform, &orders))?;
+        spawn("fetch", move || fetch::run_worker(&platform, &orders))?;
     }
     let (notices, notice_orders) = unbounded();
     let shared = platform.clone();
-    spawn("notices", move || notices::work(&shared, &notice_orders))?;
+    spawn("notices", move || notices::run_worker(&shared, &notice_orders))?;
     let shared = platform.clone();
-    spawn("watch", move || discovery::work(&shared, &watch_orders))?;
+    spawn("watch", move || discovery::run_watch_worker(&shared, &watch_orders))?;
     let (read_list, read_orders) = unbounded();
     let shared = platform.clone();
-    spawn("read-list", move || discovery::read_again(&shared, &read_orders))?;
+    spawn("read-list", move || discovery::run_read_worker(&shared, &read_orders))?;
     let (watch, read_list) = (Some(watch), Some(read_list));
     let mut probes = None;
     if platform.names.probing {
-        let (to, probe_orders) = bounded(probe::QUEUE);
+        let (sender, probe_orders) = bounded(probe::QUEUE_CAPACITY);
         for _ in 0..probe::THREADS {
             let (platform, orders) = (platform.clone(), probe_orders.clone());
-            spawn("probe", move || probe::work(&platform, &orders))?;
+            spawn("probe", move || probe::run_worker(&platform, &orders))?;
         }
-        probes = Some(to);
+        probes = Some(sender);
     }
     Ok((
         platform,
@@ -125,16 +127,16 @@
     ))
 }
 
-/// Starts the listener.
+/// Starts the acceptor of client sessions, with the sessions that a handover passed on.
 pub fn serve(
     platform: &Arc<Platform>, listener: TcpListener, sessions: Vec<(OwnedFd, ExportedConnection)>,
 ) -> io::Result<()> {
     tracing::info!(target: "platform", "platform on {}", listener.local_addr()?);
-    let clients = session::Clients(platform.clone());
-    let (clock, rules) = (platform.courier.clock, platform.rules.clone());
-    let room = BufferLimits { total: platform.held_most, per_connection: BUFFER_BYTES };
+    let clients = session::ClientSessions(platform.clone());
+    let (clock, rules) = (platform.courier.clock, platform.admission_rules.clone());
+    let limits = BufferLimits { total: platform.max_held_bytes, per_connection: BUFFER_BYTES };
     let mut acceptor =
-        ConnectionAcceptor::new("platform", clients, listener, &platform.door, clock, rules, room)?;
-    sessions.into_iter().for_each(|(fd, words)| acceptor.import_connection(fd, words));
+        ConnectionAcceptor::new("platform", clients, listener, &platform.acceptor, clock, rules, limits)?;
+    sessions.into_iter().for_each(|(fd, exported)| acceptor.import_connection(fd, exported));
     spawn("lobby", move || acceptor.run()).map(|_| ())
 }
--- a/src/net/platform/notices.rs
+++ b/src/net/platform/notices.rs
@@ -1,6 +1,7 @@
-//! Notices: the end of a message that was taken on and not delivered, told until discovery's side says 204.
+//! Notices: reports that an accepted message ended without delivery. A notice is sent to discovery's address until the
+//! response is 204.
 
-use super::http::{self, Body};
+use super::http::{self, BodyFraming};
 use super::Platform;
 use crate::api::Micros;
 use crate::core::{FinalOutcome, Notice, Report};
@@ -12,54 +13,58 @@
 use std::thread;
 use std::time::Instant;
 
-/// How long an answer is waited for, doubled with each failure. Danger: a notice is overdue 300 ms after its
-/// message's time is up, and a connection that was cut off silently never answers; so the first wait leaves time
-/// for another try on a new connection. A notice told twice does no harm.
-const ANSWER: Micros = Micros(100_000);
-const ANSWER_MOST: Micros = Micros(2_000_000);
-/// The pause between tries, doubled too.
-const PAUSE: Micros = Micros(10_000);
-const PAUSE_MOST: Micros = Micros(500_000);
-const BATCH: usize = 64;
+/// Timeout of the first attempt, doubled with each failure. A notice is overdue 300 ms after the message's deadline, and a
+/// connection that was cut off silently never answers, so this timeout leaves time for another attempt on a new connection.
+/// A notice that is sent twice does no harm.
+const FIRST_TIMEOUT: Micros = Micros(100_000);
+/// Maximum timeout of an attempt.
+const MAX_TIMEOUT: Micros = Micros(2_000_000);
+/// Pause after the first failed attempt, doubled with each failure.
+const FIRST_PAUSE: Micros = Micros(10_000);
+/// Maximum pause between attempts.
+const MAX_PAUSE: Micros = Micros(500_000);
+/// Maximum number of notices in one request.
+const MAX_BATCH: usize = 64;
 
-/// Takes orders for as long as there are any.
-pub fn work(platform: &Platform, orders: &Receiver<Notice>) {
+/// Thread function: sends ordered notices until the channel is closed.
+pub fn run_worker(platform: &Platform, orders: &Receiver<Notice>) {
     let clock = &platform.courier.clock;
-    let mut kept: Option<Arc<TcpStream>> = None;
-    let (mut pause, mut patience) = (PAUSE, ANSWER);
-    let mut most = BATCH;
-    let mut waiting: Vec<Notice> = Vec::new();
+    let mut idle_stream: Option<Arc<TcpStream>> = None;
+    let (mut pause, mut timeout) = (FIRST_PAUSE, FIRST_TIMEOUT);
+    let mut batch_limit = MAX_BATCH;
+    let mut pending: Vec<Notice> = Vec::new();
     loop {
-        if waiting.is_empty() {
+        if pending.is_empty() {
             let Ok(notice) = orders.recv() else { return };
-            waiting.push(notice);
+            pending.push(notice);
         }
-        waiting.extend(orders.try_iter());
-        let batch = waiting.len().min(most);
-        match tell(platform, kept.take(), &waiting[..batch], clock.instant(clock.now() + patience)) {
+        pending.extend(orders.try_iter());
+        let batch_len = pending.len().min(batch_limit);
+        match send(platform, idle_stream.take(), &pending[..batch_len], clock.instant(clock.now() + timeout))
+        {
             Ok((204, stream)) => {
-                (kept, pause, patience, most) = (stream, PAUSE, ANSWER, BATCH);
-                for notice in waiting.drain(..batch) {
+                (idle_stream, pause, timeout, batch_limit) = (stream, FIRST_PAUSE, FIRST_TIMEOUT, MAX_BATCH);
+                for notice in pending.drain(..batch_len) {
                     platform.courier.report(Report::NoticeDelivered(notice.msg));
                 }
                 continue;
             }
-            // One line that can't be read must not hold up the others: then one at a time, each in its turn.
+            // A notice that is rejected must not hold up the others, so from now on they are sent one at a time, in turn.
             Ok((status, _)) => {
-                tracing::warn!(target: "notices", message = %waiting[0].req.id, "a notice was answered {status}");
-                most = 1;
-                waiting.rotate_left(1);
+                tracing::warn!(target: "notices", message = %pending[0].req.id, "a notice was answered {status}");
+                batch_limit = 1;
+                pending.rotate_left(1);
             }
             Err(_) => {}
         }
         thread::sleep(std::time::Duration::from_micros(pause.0));
-        pause = pause.scale(2.0).min(PAUSE_MOST);
-        patience = patience.scale(2.0).min(ANSWER_MOST);
+        pause = pause.scale(2.0).min(MAX_PAUSE);
+        timeout = timeout.scale(2.0).min(MAX_TIMEOUT);
     }
 }
 
-/// The line of one notice.
-pub fn line(notice: &Notice) -> String {
+/// The JSON line of one notice.
+pub fn json_line(notice: &Notice) -> String {
     let id = serde_json::Value::from(notice.req.id.as_str());
     match notice.verdict {
         FinalOutcome::GivenUp => format!("{{\"message\":{id},\"outcome\":\"given_up\"}}\n"),
@@ -70,19 +75,19 @@
     }
 }
 
-fn tell(
-    platform: &Platform, kept: Option<Arc<TcpStream>>, notices: &[Notice], until: Instant,
+fn send(
+    platform: &Platform, idle_stream: Option<Arc<TcpStream>>, notices: &[Notice], until: Instant,
 ) -> std::io::Result<(u16, Option<Arc<TcpStream>>)> {
-    let body: String = notices.iter().map(line).collect();
-    // Where discovery has moved, its old connections have ended and are not quiet.
-    let stream = match kept.filter(|stream| conn::is_idle(stream)) {
+    let body: String = notices.iter().map(json_line).collect();
+    // After a change of address the old connections are shut down, so this one is not idle.
+    let stream = match idle_stream.filter(|stream| conn::is_idle(stream)) {
         Some(stream) => stream,
-        None => platform.site.connect(until)?,
+        None => platform.discovery.connect(until)?,
     };
-    let mut text = Vec::with_capacity(body.len() + 128);
-    write!(text, "POST /v1/notices HTTP/1.1\r\nHost: {}\r\n", stream.peer_addr()?)?;
-    write!(text, "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
-    conn::write_all(&stream, &text, until)?;
+    let mut request = Vec::with_capacity(body.len() + 128);
+    write!(request, "POST /v1/notices HTTP/1.1\r\nHost: {}\r\n", stream.peer_addr()?)?;
+    write!(request, "Content-Type: application/json\r\nContent-Length: {}\r\n\r\n{body}", body.len())?;
+    conn::write_all(&stream, &request, until)?;
     let mut buf = platform.pool.get();
     let mut filled = 0;
     loop {
@@ -91,10 +96,11 @@
             return Err(std::io::ErrorKind::UnexpectedEof.into());
         }
         filled += n;
-        let bad = |_| std::io::Error::from(std::io::ErrorKind::InvalidData);
-        if let Some(head) = http::answer(&buf[..filled], &[]).map_err(bad)? {
-            let whole = matches!(head.body, Body::Length(n) if head.head + n == filled) && !head.close;
-            return Ok((head.status, whole.then_some(stream)));
+        let malformed = |_| std::io::Error::from(std::io::ErrorKind::InvalidData);
+        if let Some(head) = http::parse_response(&buf[..filled], &[]).map_err(malformed)? {
+            let reusable =
+                matches!(head.body, BodyFraming::Length(n) if head.head_len + n == filled) && !head.close;
+            return Ok((head.status, reusable.then_some(stream)));
         }
     }
 }
--- a/src/net/platform/session.rs
+++ b/src/net/platform/session.rs
@@ -1,7 +1,7 @@
-//! Client sessions: one request at a time, read by the connection acceptor. Every request that was read whole gets its
-//! answer at once: taken, a synthetic answer, or a clear failure.
+//! Client sessions: one request at a time, read by the connection acceptor. Every request that was read completely is answered
+//! at once: it is accepted, gets a synthetic answer, or is refused with the reason.
 
-use super::http::{self, Bad, RequestHead};
+use super::http::{self, ParseError, RequestHead};
 use super::{Platform, FRONT};
 use crate::api::Micros;
 use crate::core::{Answer, Req};
@@ -10,232 +10,250 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// After a request that can't be used the next one of its client waits, twice as long each time. Danger: clients that
-/// send the same again as soon as it is turned away take the processor from all others.
-const FAULT: Micros = Micros(10_000);
-const FAULT_DOUBLES: u32 = 5;
-/// Danger: a client counts its deadline from when it sent the request, and an end is overdue 300 ms after that. The first
-/// request of a connection may have waited for as long as its client waits for the answer, 400 ms, before the connection
-/// was let in; a later one is read as soon as the acceptor wakes. So this much is taken off the deadline.
-const SKEW_FIRST: Micros = Micros(400_000);
-const SKEW: Micros = Micros(100_000);
-/// The longest id, key and deadline that are taken.
-const NAME_MOST: usize = 256;
-const DEADLINE_MS_MOST: u64 = 24 * 3600 * 1000;
-
-/// The platform's clients.
-pub struct Clients(pub Arc<Platform>);
-
-/// What is remembered of one.
+/// Base of the pause before a client's next request after an invalid one. It is doubled with each invalid request, from the
+/// first on. Clients that repeat a refused request at once would otherwise take processor time from all others.
+const FAULT_PAUSE: Micros = Micros(10_000);
+/// Bound on the exponent of that pause.
+const MAX_FAULT_PAUSE_DOUBLINGS: u32 = 5;
+/// Subtracted from the deadline of a connection's first request. A client counts its deadline from the moment it sent the
+/// request, and an end is overdue 300 ms after the deadline. The first request may have waited until the connection was
+/// admitted, for as long as its client waits for the answer, 400 ms.
+const FIRST_REQUEST_SKEW: Micros = Micros(400_000);
+/// The same for later requests, which are read as soon as the acceptor's thread wakes.
+const REQUEST_SKEW: Micros = Micros(100_000);
+/// Maximum length of an id and of a key.
+const MAX_TOKEN_BYTES: usize = 256;
+/// Maximum deadline of a req.
+const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
+
+/// Handles the requests of client sessions.
+pub struct ClientSessions(pub Arc<Platform>);
+
+/// The state of one session.
 #[derive(Serialize, Deserialize)]
-pub struct Talk {
+pub struct SessionState {
+    /// Subtracted from the deadline of the next request.
     skew: Micros,
+    /// Invalid requests so far.
     faults: u32,
-    /// It waited for a word before it sent the body, and has heard it.
+    /// The current request expected `100 Continue`, which has been sent.
     continued: bool,
 }
 
-/// A req to be handed in, and whether its answer is the last word.
-pub struct Ask {
+/// A req to submit, and whether the connection closes after the answer.
+pub struct Submission {
     req: Req,
-    last: bool,
+    close: bool,
 }
 
-impl ClientProtocol for Clients {
-    type Session = Talk;
-    type Request = Ask;
+impl ClientProtocol for ClientSessions {
+    type Session = SessionState;
+    type Request = Submission;
 
-    fn open(&self, _from: SocketAddr, _out: &mut Vec<u8>) -> Talk {
-        Talk { skew: SKEW_FIRST, faults: 0, continued: false }
+    fn open(&self, _from: SocketAddr, _out: &mut Vec<u8>) -> SessionState {
+        SessionState { skew: FIRST_REQUEST_SKEW, faults: 0, continued: false }
     }
 
-    fn parse(&self, talk: &mut Talk, bytes: &[u8], out: &mut Vec<u8>) -> (usize, Parsed<Ask>) {
+    fn parse(
+        &self, state: &mut SessionState, bytes: &[u8], out: &mut Vec<u8>,
+    ) -> (usize, Parsed<Submission>) {
         let platform = &*self.0;
-        let head = match http::request(bytes) {
-            Err(bad) => {
-                out.extend(turn_away(bad).as_bytes());
+        let head = match http::parse_request(bytes) {
+            Err(e) => {
+                out.extend(parse_error_response(e).as_bytes());
                 return (bytes.len(), Parsed::Closing);
             }
             Ok(None) => return (0, Parsed::Incomplete { begun: !bytes.is_empty() }),
             Ok(Some(head)) => head,
         };
-        let end = head.head + head.body;
+        let end = head.head_len + head.body_len;
         if bytes.len() < end {
-            if head.expects && !talk.continued {
-                talk.continued = true;
+            if head.expects_continue && !state.continued {
+                state.continued = true;
                 out.extend(b"HTTP/1.1 100 Continue\r\n\r\n");
             }
             return (0, Parsed::Incomplete { begun: true });
         }
-        talk.continued = false;
-        // Danger: what is read behind this request and not answered is lost; so only the last that was read is told to be it.
-        let ends = platform.door.closing() || platform.courier.front_closed(FRONT);
-        let last = head.close || ends && bytes.len() == end;
-        let heard =
-            match request(platform, &head, &bytes[head.head..end], std::mem::replace(&mut talk.skew, SKEW)) {
-                Ok(req) => Parsed::Request(Ask { req, last }),
-                Err(say) => {
-                    out.extend(say.text(last).as_bytes());
-                    match last {
-                        true => Parsed::Closing,
-                        false => Parsed::Answered { fault: say.fault },
-                    }
+        state.continued = false;
+        // Requests that were read and not answered are lost when the connection closes, so only the answer to the last request
+        // in the buffer announces the close.
+        let closing = platform.acceptor.closing() || platform.courier.front_closed(FRONT);
+        let close = head.close || closing && bytes.len() == end;
+        let parsed = match parse_submission(
+            platform,
+            &head,
+            &bytes[head.head_len..end],
+            std::mem::replace(&mut state.skew, REQUEST_SKEW),
+        ) {
+            Ok(req) => Parsed::Request(Submission { req, close }),
+            Err(response) => {
+                out.extend(response.text(close).as_bytes());
+                match close {
+                    true => Parsed::Closing,
+                    false => Parsed::Answered { fault: response.fault },
                 }
-            };
-        (end, heard)
+            }
+        };
+        (end, parsed)
     }
 
-    fn answer(&self, asks: Vec<Ask>) -> Vec<Reply> {
-        let (reqs, lasts): (Vec<Req>, Vec<bool>) = asks.into_iter().map(|ask| (ask.req, ask.last)).unzip();
+    fn answer(&self, submissions: Vec<Submission>) -> Vec<Reply> {
+        let (reqs, closes): (Vec<Req>, Vec<bool>) =
+            submissions.into_iter().map(|submission| (submission.req, submission.close)).unzip();
         let answers = self.0.courier.hand_in(reqs);
-        answers.into_iter().zip(lasts).map(|(answer, last)| self.reply(answer, last)).collect()
+        answers.into_iter().zip(closes).map(|(answer, close)| self.reply(answer, close)).collect()
     }
 
-    fn replies_written(&self, receipts: &[(u64, bool)]) {
-        self.0.courier.answered(receipts);
+    fn replies_written(&self, results: &[(u64, bool)]) {
+        self.0.courier.answered(results);
     }
 
-    fn fault_pause(&self, talk: &mut Talk) -> Micros {
-        talk.faults += 1;
-        FAULT.scale(f64::from(1 << talk.faults.min(FAULT_DOUBLES)))
+    fn fault_pause(&self, state: &mut SessionState) -> Micros {
+        state.faults += 1;
+        FAULT_PAUSE.scale(f64::from(1 << state.faults.min(MAX_FAULT_PAUSE_DOUBLINGS)))
     }
 
-    fn export_session(&self, talk: &Talk) -> Vec<u8> {
-        // Plain numbers can't fail to be written.
-        serde_json::to_vec(talk).unwrap_or_default()
+    fn export_session(&self, state: &SessionState) -> Vec<u8> {
+        // Serializing plain numbers cannot fail.
+        serde_json::to_vec(state).unwrap_or_default()
     }
 
-    fn import_session(&self, from: SocketAddr, words: &[u8]) -> Talk {
-        serde_json::from_slice(words).unwrap_or_else(|_| self.open(from, &mut Vec::new()))
+    fn import_session(&self, from: SocketAddr, bytes: &[u8]) -> SessionState {
+        serde_json::from_slice(bytes).unwrap_or_else(|_| self.open(from, &mut Vec::new()))
     }
 
-    fn closing_reply(&self, why: CloseReason) -> &'static str {
-        match why {
+    fn closing_reply(&self, reason: CloseReason) -> &'static str {
+        match reason {
             CloseReason::Half => "HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
             CloseReason::Full | CloseReason::Gone => {
                 "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
             }
-            // Danger: what is said on an idle connection would be read as the answer to a request that crosses it.
+            // Bytes sent on an idle connection would be read as the answer to a request that is on its way.
             CloseReason::Idle => "",
         }
     }
 
-    /// Danger: a refusal that is sent across a newcomer's request is lost with the connection's reset; so it waits for a
-    /// place, which the admission bounds.
+    /// No refusal is sent, because it would be lost: the request that is on its way to the closed connection causes a reset.
+    /// So a new client waits for a place, for a time that the admission rules bound.
     fn refusal(&self) -> Option<&'static str> {
         None
     }
 }
 
-impl Clients {
-    fn reply(&self, answer: Answer, last: bool) -> Reply {
+impl ClientSessions {
+    fn reply(&self, answer: Answer, close: bool) -> Reply {
         let courier = &self.0.courier;
-        let mut receipt = None;
-        let say = match answer {
+        let mut accepted_message = None;
+        let response = match answer {
             Answer::Taken(msg) => {
-                receipt = Some(msg);
-                Say::of("202 Accepted")
+                accepted_message = Some(msg);
+                Response::new("202 Accepted")
             }
-            Answer::Known => Say::of("202 Accepted"),
-            Answer::Refused(wait) => Say {
+            Answer::Known => Response::new("202 Accepted"),
+            Answer::Refused(wait) => Response {
                 headers: format!("Retry-After: {:.3}\r\n", wait.secs()),
-                ..Say::of("503 Service Unavailable")
+                ..Response::new("503 Service Unavailable")
             },
             Answer::Draining { wait, drain } => {
                 let link = courier
                     .alternative_address(drain)
                     .map(|at| format!("Link: <{at}>; rel=\"alternate\"\r\n"));
                 let headers = format!("Retry-After: {:.3}\r\n{}", wait.secs(), link.unwrap_or_default());
-                Say { headers, body: "draining\n".into(), ..Say::of("503 Service Unavailable") }
+                Response { headers, body: "draining\n".into(), ..Response::new("503 Service Unavailable") }
             }
-            Answer::NoSuchDest => Say::fault("404 Not Found", "X-Addressing: no such destination\n"),
-            Answer::MayBegin(_) | Answer::Acknowledged => Say::of("500 Internal Server Error"),
+            Answer::NoSuchDest => Response::fault("404 Not Found", "X-Addressing: no such destination\n"),
+            Answer::MayBegin(_) | Answer::Acknowledged => Response::new("500 Internal Server Error"),
         };
-        Reply { text: say.text(last), close: last, fault: say.fault, accepted_message: receipt }
+        Reply { text: response.text(close), close, fault: response.fault, accepted_message }
     }
 }
 
-/// An answer before it is put into words.
-struct Say {
+/// A response before it is formatted.
+struct Response {
     status: &'static str,
     headers: String,
     body: String,
-    /// The request can't be used.
+    /// The request was invalid.
     fault: bool,
 }
 
-impl Say {
-    fn of(status: &'static str) -> Say {
-        Say { status, headers: String::new(), body: String::new(), fault: false }
+impl Response {
+    fn new(status: &'static str) -> Response {
+        Response { status, headers: String::new(), body: String::new(), fault: false }
     }
 
-    fn fault(status: &'static str, body: &str) -> Say {
-        Say { body: body.to_owned(), fault: true, ..Say::of(status) }
+    fn fault(status: &'static str, body: &str) -> Response {
+        Response { body: body.to_owned(), fault: true, ..Response::new(status) }
     }
 
-    fn text(&self, last: bool) -> String {
-        let close = if last { "Connection: close\r\n" } else { "" };
+    fn text(&self, close: bool) -> String {
+        let connection = if close { "Connection: close\r\n" } else { "" };
         let (status, headers, body) = (self.status, &self.headers, &self.body);
-        format!("HTTP/1.1 {status}\r\n{headers}{close}Content-Length: {}\r\n\r\n{body}", body.len())
+        format!("HTTP/1.1 {status}\r\n{headers}{connection}Content-Length: {}\r\n\r\n{body}", body.len())
     }
 }
 
-fn turn_away(bad: Bad) -> String {
-    Say::of(bad.status()).text(true)
+fn parse_error_response(e: ParseError) -> String {
+    Response::new(e.status()).text(true)
 }
 
-/// The req of a request, or the answer to a request that has none.
-fn request(platform: &Platform, head: &RequestHead, body: &[u8], skew: Micros) -> Result<Req, Say> {
+/// The req that a request submits, or the response to a request that submits none.
+fn parse_submission(
+    platform: &Platform, head: &RequestHead, body: &[u8], skew: Micros,
+) -> Result<Req, Response> {
     let path = head.path.split('?').next().unwrap_or_default();
-    let not_allowed = |allow: &str| Say {
+    let not_allowed = |allow: &str| Response {
         headers: format!("Allow: {allow}\r\n"),
-        ..Say::fault("405 Method Not Allowed", "")
+        ..Response::fault("405 Method Not Allowed", "")
     };
     match (head.method.as_str(), path) {
         ("POST", "/api") => {}
         ("GET", "/health/ready") if !platform.courier.ready(FRONT) => {
-            return Err(Say {
+            return Err(Response {
                 headers: "Retry-After: 1\r\n".into(),
                 body: "no backend is known yet\n".into(),
-                ..Say::of("503 Service Unavailable")
+                ..Response::new("503 Service Unavailable")
             })
         }
         ("GET", "/health/ready" | "/health/live") => {
-            return Err(Say { body: "ok\n".into(), ..Say::of("200 OK") })
+            return Err(Response { body: "ok\n".into(), ..Response::new("200 OK") })
         }
         (_, "/api") => return Err(not_allowed("POST")),
         (_, "/health/ready" | "/health/live") => return Err(not_allowed("GET")),
-        _ => return Err(Say::fault("404 Not Found", "no such path\n")),
+        _ => return Err(Response::fault("404 Not Found", "no such path\n")),
     }
-    req(platform, head, body, skew).map_err(|why| Say::fault("400 Bad Request", &format!("{why}\n")))
+    parse_req(platform, head, body, skew)
+        .map_err(|reason| Response::fault("400 Bad Request", &format!("{reason}\n")))
 }
 
-/// The req, or what is wrong with it.
-fn req(platform: &Platform, head: &RequestHead, body: &[u8], skew: Micros) -> Result<Req, &'static str> {
-    let place = |list: &[String], name: &Option<String>| {
+/// The req, or the reason for which it is invalid.
+fn parse_req(
+    platform: &Platform, head: &RequestHead, body: &[u8], skew: Micros,
+) -> Result<Req, &'static str> {
+    let position = |names: &[String], name: &Option<String>| {
         let name = name.as_deref()?;
-        list.iter().position(|n| n == name).and_then(|n| u16::try_from(n).ok())
+        names.iter().position(|known| known == name).and_then(|index| u16::try_from(index).ok())
+    };
+    let is_token = |text: &str| {
+        !text.is_empty() && text.len() <= MAX_TOKEN_BYTES && text.bytes().all(|byte| byte.is_ascii_graphic())
     };
-    let token = |t: &str| !t.is_empty() && t.len() <= NAME_MOST && t.bytes().all(|b| b.is_ascii_graphic());
-    let id = head.id.clone().filter(|id| token(id)).ok_or("Req-Id: missing or malformed")?;
+    let id = head.id.clone().filter(|id| is_token(id)).ok_or("Req-Id: missing or malformed")?;
     let key = head.key.clone().unwrap_or_default();
-    if head.key.is_some() && !token(&key) {
+    if head.key.is_some() && !is_token(&key) {
         return Err("Idempotency-Key: malformed");
     }
-    let ms = head
-        .deadline_ms
-        .filter(|ms| *ms <= DEADLINE_MS_MOST)
-        .ok_or("Req-Deadline-Ms: missing or too long")?;
+    let ms =
+        head.deadline_ms.filter(|ms| *ms <= MAX_DEADLINE_MS).ok_or("Req-Deadline-Ms: missing or too long")?;
     let tenant = if platform.names.tenants.is_empty() {
         Some(0)
     } else {
-        place(&platform.names.tenants, &head.tenant)
+        position(&platform.names.tenants, &head.tenant)
     };
     Ok(Req {
         id,
         front: FRONT,
         dest: head.dest.ok_or("X-Addressing: missing or malformed")?,
-        class: place(&platform.names.classes, &head.class).ok_or("Req-Kind: no such class")?,
+        class: position(&platform.names.classes, &head.class).ok_or("Req-Kind: no such class")?,
         tenant: tenant.ok_or("Req-Owner: no such tenant")?,
         due: platform.courier.clock.now() + Micros(ms * 1000) - skew.min(Micros(ms * 250)),
         head: key,
--- a/tests/parsers.rs
+++ b/tests/parsers.rs
@@ -3,8 +3,10 @@
 
 use indigohold::net::mail::dns::zone::{self, Zone};
 use indigohold::net::mail::lines::{line, reply, stuffed, BadLine, Text};
-use indigohold::net::platform::http::{answer, request, says_200, AnswerHead, Body};
-use indigohold::net::platform::lines::Lines;
+use indigohold::net::platform::http::{
+    parse_request, parse_response, status_line_is_200, BodyFraming, ResponseHead,
+};
+use indigohold::net::platform::line_decoder::LineDecoder;
 use quickcheck::{Gen, QuickCheck, TestResult, Testable};
 use std::path::Path;
 
@@ -22,14 +24,14 @@
 
 #[test]
 fn a_request_reads_the_same_however_it_is_cut() {
-    let whole = request(REQUEST).unwrap().unwrap();
+    let whole = parse_request(REQUEST).unwrap().unwrap();
     assert_eq!(
-        (whole.head, whole.body, whole.dest, whole.deadline_ms),
+        (whole.head_len, whole.body_len, whole.dest, whole.deadline_ms),
         (REQUEST.len(), 212, Some(7), Some(480))
     );
     assert_eq!((whole.id.as_deref(), whole.key.as_deref()), (Some("9b1f"), Some("5c0f")));
     for cut in 0..REQUEST.len() {
-        assert_eq!(request(&REQUEST[..cut]), Ok(None), "cut at {cut}");
+        assert_eq!(parse_request(&REQUEST[..cut]), Ok(None), "cut at {cut}");
     }
 }
 
@@ -37,11 +39,11 @@
 fn an_answer_tells_outcome_wait_and_load() {
     let text = b"HTTP/1.1 429 Too Many\r\nX-RateLimit-Wait-Ms: 350\r\nSrv-Load: TEXT x0=0.4, x1=25\r\nContent-Length: 2\r\n\r\nno";
     let names = ["x0".to_owned(), "x1".to_owned()];
-    let head = answer(text, &names).unwrap().unwrap();
-    assert_eq!((head.status, head.body, head.wait.unwrap().0), (429, Body::Length(2), 350_000));
+    let head = parse_response(text, &names).unwrap().unwrap();
+    assert_eq!((head.status, head.body, head.retry_after.unwrap().0), (429, BodyFraming::Length(2), 350_000));
     assert_eq!(head.load, [0.4, 25.0]);
-    for cut in 0..head.head {
-        assert_eq!(answer(&text[..cut], &names), Ok(None), "cut at {cut}");
+    for cut in 0..head.head_len {
+        assert_eq!(parse_response(&text[..cut], &names), Ok(None), "cut at {cut}");
     }
 }
 
@@ -49,7 +51,7 @@
 #[test]
 fn an_answer_with_two_readings_is_spoilt_and_a_spoilt_load_report_is_none() {
     let names = ["x0".to_owned(), "x1".to_owned()];
-    let head = |fields: &str| answer(format!("HTTP/1.1 503 No\r\n{fields}\r\n").as_bytes(), &names);
+    let head = |fields: &str| parse_response(format!("HTTP/1.1 503 No\r\n{fields}\r\n").as_bytes(), &names);
     for bad in [
         "Content-Length: 2\r\nContent-Length: 3\r\n",
         "Content-Length: -1\r\n",
@@ -72,20 +74,23 @@
 fn an_answer_ends_where_its_body_does_however_it_is_cut() {
     const HEAD: &str = "HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n";
     let text = format!("{HEAD}3;x=y\r\nabc\r\n10\r\n0123456789abcdef\r\n0\r\n\r\n");
-    let head: AnswerHead = answer(text.as_bytes(), &[]).unwrap().unwrap();
-    for cut in head.head..text.len() {
-        assert_eq!(head.end(&text.as_bytes()[..cut], false), Ok(None), "cut at {cut}");
+    let head: ResponseHead = parse_response(text.as_bytes(), &[]).unwrap().unwrap();
+    for cut in head.head_len..text.len() {
+        assert_eq!(head.response_len(&text.as_bytes()[..cut], false), Ok(None), "cut at {cut}");
     }
-    assert_eq!(head.end((text.clone() + "more").as_bytes(), false), Ok(Some(text.len())));
+    assert_eq!(head.response_len((text.clone() + "more").as_bytes(), false), Ok(Some(text.len())));
     for bad in ["zz\r\n", "3\r\nabcd\r\n", "fffffff\r\n", "ffffffffffffffffff\r\n"] {
-        assert!(head.end(format!("{HEAD}{bad}").as_bytes(), false).is_err(), "{bad}");
+        assert!(head.response_len(format!("{HEAD}{bad}").as_bytes(), false).is_err(), "{bad}");
     }
-    let by_close = answer(b"HTTP/1.1 503 No\r\n\r\n", &[]).unwrap().unwrap();
+    let by_close = parse_response(b"HTTP/1.1 503 No\r\n\r\n", &[]).unwrap().unwrap();
     let whole = b"HTTP/1.1 503 No\r\n\r\nabc";
-    assert_eq!((by_close.end(whole, false), by_close.end(whole, true)), (Ok(None), Ok(Some(whole.len()))));
-    assert!(says_200(b"HTTP/1.1 200 OK\r\n\xff\xfe") && says_200(b"HTTP/1.1 200\n"));
+    assert_eq!(
+        (by_close.response_len(whole, false), by_close.response_len(whole, true)),
+        (Ok(None), Ok(Some(whole.len())))
+    );
+    assert!(status_line_is_200(b"HTTP/1.1 200 OK\r\n\xff\xfe") && status_line_is_200(b"HTTP/1.1 200\n"));
     for not in [&b"HTTP/1.1 200 OK"[..], b"HTTP/1.1 2000\r\n", b"noise\r\nHTTP/1.1 200 OK\r\n", b""] {
-        assert!(!says_200(not));
+        assert!(!status_line_is_200(not));
     }
 }
 
@@ -93,7 +98,7 @@
 fn a_watch_gives_the_same_lines_however_it_is_cut() {
     const WATCH: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n8\r\n{\n \"a\":1\r\n3\r\n}\n\n\r\n5\r\nnext\n\r\n0\r\n\r\n";
     fn cut(stream: &[u8], cuts: &[u8]) -> (Vec<Vec<u8>>, bool) {
-        let (mut lines, mut out, mut rest) = (Lines::default(), Vec::new(), stream);
+        let (mut lines, mut out, mut rest) = (LineDecoder::default(), Vec::new(), stream);
         let mut sizes = cuts.iter().map(|c| usize::from(*c) % 9 + 1);
         while !rest.is_empty() {
             let (part, tail) = rest.split_at(sizes.next().unwrap_or(rest.len()).min(rest.len()));
@@ -117,10 +122,12 @@
 #[test]
 fn garbage_panics_nowhere() {
     fn all(bytes: Vec<u8>) -> bool {
-        let _ = (request(&bytes), answer(&bytes, &["x0".to_owned()]), line(&bytes), reply(&bytes));
-        let head = answer(b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n", &[]).unwrap().unwrap();
-        let _ = (head.end(&[&[0; 47], &bytes[..]].concat(), false), says_200(&bytes));
-        let _ = (Lines::default().push(&bytes), Text::new(100).push(&bytes));
+        let _ =
+            (parse_request(&bytes), parse_response(&bytes, &["x0".to_owned()]), line(&bytes), reply(&bytes));
+        let head =
+            parse_response(b"HTTP/1.1 503 No\r\nTransfer-Encoding: chunked\r\n\r\n", &[]).unwrap().unwrap();
+        let _ = (head.response_len(&[&[0; 47], &bytes[..]].concat(), false), status_line_is_200(&bytes));
+        let _ = (LineDecoder::default().push(&bytes), Text::new(100).push(&bytes));
         let _ = smtp_proto::Request::parse(&mut [&bytes[..], b"\r\n"].concat().iter());
         let _ = hickory_proto::op::Message::from_vec(&bytes);
         let text = String::from_utf8_lossy(&bytes);
