--- a/tests/succession.rs
+++ b/tests/succession.rs
@@ -1,5 +1,5 @@
-//! What the journal makes of a call without an outcome when another process follows: after a restart it may have run, after a
-//! hand-over the outcome may still come.
+//! How a journal treats a call without an outcome when the next process opens it. After a restart the call may have
+//! run; after a handover the old process may still report the outcome.
 
 use indigohold::store::{Journal, Req, StartMode};
 use indigohold::Micros;
@@ -7,9 +7,9 @@
 use std::sync::Arc;
 use tempfile::tempdir;
 
-const DISK: u64 = 400_000;
+const DISK_BYTES: u64 = 400_000;
 const NOW: Micros = Micros(100);
-const CALLED: Micros = Micros(200);
+const CALLED_AT: Micros = Micros(200);
 
 fn req(id: &str, bytes: usize) -> Arc<Req> {
     Arc::new(Req {
@@ -25,23 +25,24 @@
     })
 }
 
-fn open(dir: &Path, succession: StartMode) -> Journal {
-    Journal::open_as(dir, DISK, NOW, 0, succession).unwrap()
+fn open(dir: &Path, start_mode: StartMode) -> Journal {
+    Journal::open_as(dir, DISK_BYTES, NOW, 0, start_mode).unwrap()
 }
 
-/// A process that ends with a call out.
-fn call_out(dir: &Path) {
+/// Leaves a journal whose process ended while a call was in flight.
+fn leave_call_in_flight(dir: &Path) {
     let mut journal = open(dir, StartMode::Restart);
     journal.accept(&[(1, req("m1", 10))]).unwrap();
-    journal.start_attempt(1, CALLED, "s-1").unwrap();
+    journal.start_attempt(1, CALLED_AT, "s-1").unwrap();
 }
 
-fn call() -> Option<(Micros, String)> {
-    Some((CALLED, "s-1".into()))
+/// The call that [`leave_call_in_flight`] leaves.
+fn call_in_flight() -> Option<(Micros, String)> {
+    Some((CALLED_AT, "s-1".into()))
 }
 
-/// Has the oldest segments written anew.
-fn fill(journal: &mut Journal, first: u64) {
+/// Writes enough messages that the oldest segments are rewritten.
+fn fill_segments(journal: &mut Journal, first: u64) {
     for msg in first..first + 400 {
         journal.accept(&[(msg, req(&format!("x{msg}"), 900))]).unwrap();
         journal.end(msg, NOW);
@@ -49,61 +50,63 @@
 }
 
 #[test]
-fn an_outcome_without_a_begin_leaves_the_call_of_an_earlier_process_a_risk() {
+fn an_outcome_without_a_begin_does_not_settle_the_call_of_an_earlier_process() {
     for rewritten in [false, true] {
         let dir = tempdir().unwrap();
-        call_out(dir.path());
-        for life in 1..4 {
+        leave_call_in_flight(dir.path());
+        for run in 1..4 {
             let mut journal = open(dir.path(), StartMode::Restart);
             journal.record_outcome(1, false, "refused");
             if rewritten {
-                fill(&mut journal, life * 1_000);
+                fill_segments(&mut journal, run * 1_000);
             }
-            assert_eq!(journal.pending()[&1].first_uncertain, call(), "life {life}");
+            assert_eq!(journal.pending()[&1].first_uncertain, call_in_flight(), "run {run}");
         }
         let journal = open(dir.path(), StartMode::Restart);
         assert_eq!(
             (journal.pending()[&1].first_uncertain.clone(), journal.pending()[&1].open_attempt.clone()),
-            (call(), None)
+            (call_in_flight(), None)
         );
     }
 }
 
 #[test]
-fn a_call_that_was_handed_over_is_open_until_its_outcome_or_a_restart() {
-    for (may_have_run, risk) in [(None, call()), (Some(true), call()), (Some(false), None)] {
+fn a_call_in_flight_at_a_handover_stays_open_until_its_outcome_or_a_restart() {
+    for (may_have_run, first_uncertain) in
+        [(None, call_in_flight()), (Some(true), call_in_flight()), (Some(false), None)]
+    {
         let dir = tempdir().unwrap();
-        call_out(dir.path());
+        leave_call_in_flight(dir.path());
         let mut journal = open(dir.path(), StartMode::Handover);
         assert_eq!(
             (journal.pending()[&1].first_uncertain.clone(), journal.pending()[&1].open_attempt.clone()),
-            (None, call())
+            (None, call_in_flight())
         );
         may_have_run.into_iter().for_each(|ran| journal.record_outcome(1, ran, ""));
-        // Its segment tells the next process how this one came.
+        // The segment of this record says that this process followed a handover.
         journal.accept(&[(2, req("m2", 10))]).unwrap();
         drop(journal);
         let journal = open(dir.path(), StartMode::Restart);
-        let owed = &journal.pending()[&1];
+        let pending = &journal.pending()[&1];
         assert_eq!(
-            (owed.first_uncertain.clone(), owed.open_attempt.clone()),
-            (risk, None),
+            (pending.first_uncertain.clone(), pending.open_attempt.clone()),
+            (first_uncertain, None),
             "{may_have_run:?}"
         );
     }
 }
 
 #[test]
-fn a_hand_over_does_not_open_what_a_restart_before_it_has_settled() {
+fn a_handover_does_not_reopen_a_call_from_before_an_earlier_restart() {
     let dir = tempdir().unwrap();
-    call_out(dir.path());
+    leave_call_in_flight(dir.path());
     drop(open(dir.path(), StartMode::Restart));
     let mut journal = open(dir.path(), StartMode::Handover);
     assert_eq!(
         (journal.pending()[&1].first_uncertain.clone(), journal.pending()[&1].open_attempt.clone()),
-        (call(), None)
+        (call_in_flight(), None)
     );
     journal.record_outcome(1, false, "");
     drop(journal);
-    assert_eq!(open(dir.path(), StartMode::Restart).pending()[&1].first_uncertain, call());
+    assert_eq!(open(dir.path(), StartMode::Restart).pending()[&1].first_uncertain, call_in_flight());
 }
