--- a/tests/lost_calls.rs
+++ b/tests/lost_calls.rs
@@ -1,4 +1,4 @@
-//! What a lost call means for its endpoint.
+//! How lost calls affect the endpoint that they were sent to: its health, slow start, idle timeout and call timeout.
 
 mod common;
 use common::*;
@@ -22,7 +22,7 @@
 /// Guards against needless slow starts: resets of a fraction of all calls sent every endpoint through slow
 /// start.
 #[test]
-fn one_broken_connection_is_no_outage() {
+fn one_broken_connection_is_not_an_outage() {
     let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
     harness.demand(1, 7, 2);
     harness.returns(1, Outcome::Reset);
@@ -42,7 +42,7 @@
     harness.returns(1, Outcome::Ok);
     harness.demand(2, 7, 2);
     harness.returns(2, Outcome::ConnectFailed);
-    assert_eq!(attempted_ids(&harness.demand(3, 7, 2)), [3], "one lost call is no outage");
+    assert_eq!(attempted_ids(&harness.demand(3, 7, 2)), [3], "one lost call is not an outage");
     harness.returns(3, Outcome::ConnectFailed);
     assert!(attempted_ids(&harness.demand(4, 7, 2)).is_empty(), "two in a row are an outage");
     // The trial succeeds at once: the endpoint was not out for long enough to be cold.
@@ -56,7 +56,7 @@
 /// Guards against an overloaded destination: an endpoint that has not answered lately is ejected at once, and
 /// returns in slow start.
 #[test]
-fn a_failed_connect_after_a_silence_is_an_outage() {
+fn a_failed_connect_to_an_endpoint_without_recent_answers_is_an_outage() {
     let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
     harness.now += S;
     harness.demand(1, 7, 2);
@@ -69,7 +69,7 @@
     let trial = harness.in_flight[0].id;
     harness.returns(trial, Outcome::Ok);
     let sent: usize = (10..15).map(|id| attempted_ids(&harness.demand(id, 7, 2)).len()).sum();
-    assert!(sent < 5, "{sent}: it is in slow start");
+    assert!(sent < 5, "{sent}: the endpoint must be in slow start");
 }
 
 /// Guards against an idle timeout that is cut too far: one call lost 25 ms after another cut it to 12 ms, and
@@ -77,20 +77,21 @@
 #[test]
 fn a_call_lost_after_a_short_pause_does_not_shorten_the_idle_timeout() {
     let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
-    let mut let_go = 0;
+    let mut closed_count = 0;
     for id in 0..200 {
         harness.now += 25_000;
         harness.demand(id, 7, 2);
         harness.now += 25_000;
         let lost = id == 100;
         let actions = harness.returns(id, if lost { Outcome::Reset } else { Outcome::Ok });
-        let_go += u32::from(id > 100 && actions.iter().any(|a| matches!(a, Action::CloseIdleConnections(_))));
+        closed_count +=
+            u32::from(id > 100 && actions.iter().any(|a| matches!(a, Action::CloseIdleConnections(_))));
     }
-    assert_eq!(let_go, 0);
+    assert_eq!(closed_count, 0);
 }
 
-/// Guards against lost calls that hold every slot: the time-out was nine seconds for an endpoint that answers
-/// in a fifth of a second.
+/// Guards against lost calls that hold every slot: the timeout was nine seconds for an endpoint that answers in
+/// 200 ms.
 #[test]
 fn timeouts_follow_the_latency_and_double_with_each_timeout_in_a_row() {
     let timeout = |actions: &[Action]| match actions.iter().find(|a| matches!(a, Action::Try { .. })) {
--- a/tests/resume.rs
+++ b/tests/resume.rs
@@ -1,5 +1,5 @@
-//! What the sender does with messages resumed from an earlier process run, and whether a call may begin just
-//! before its first byte.
+//! How the sender treats messages that are resumed from an earlier process run, and whether it lets a call begin just
+//! before its first byte is sent.
 
 mod common;
 use common::*;
@@ -23,7 +23,7 @@
     let outside = resumed(&harness, 2, 1, 1, Some((harness.now - 13 * S, 1)), due);
     let done = harness.feed(vec![inside, outside]);
     assert_eq!(attempted_ids(&done), [1]);
-    assert!(done.contains(&Action::Fail(MessageId(2))), "it may have run, and its window is over");
+    assert!(done.contains(&Action::Fail(MessageId(2))), "it may have run, and its window has ended");
 }
 
 #[test]
@@ -32,7 +32,7 @@
     let last = resumed(&harness, 1, 0, 7, None, harness.now + 20 * S);
     assert_eq!(attempted_ids(&harness.feed(vec![last])), [1]);
     harness.in_flight[0].number = 7;
-    assert_eq!(answered_ids(&harness.returns(1, Outcome::Refused(None))), [1], "that was the eighth");
+    assert_eq!(answered_ids(&harness.returns(1, Outcome::Refused(None))), [1], "that was the eighth attempt");
 }
 
 #[test]
@@ -40,11 +40,11 @@
     let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
     harness.now = 100 * S;
     let due = harness.now - S;
-    let (fresh, ran) = (
+    let (never_sent, may_have_run) = (
         resumed(&harness, 1, 1, 0, None, due),
         resumed(&harness, 2, 2, 1, Some((harness.now - 2 * S, 1)), due),
     );
-    let done = harness.feed(vec![fresh, ran]);
+    let done = harness.feed(vec![never_sent, may_have_run]);
     assert_eq!(answered_ids(&done), [1, 2]);
     assert!(attempted_ids(&done).is_empty());
     assert!(done.contains(&Action::Fail(MessageId(2))));
@@ -68,8 +68,8 @@
     assert!(may_begin(&harness, 2));
 }
 
-/// Guards against an order over mail that counts as lost because its server is slower than usual. It can't be
-/// repeated, so giving up early only loses its answer.
+/// Guards against a timeout that is too short for an order by mail when its server is slower than usual. An unsafe
+/// message can't be repeated, so an early timeout only loses its answer.
 #[test]
 fn an_unsafe_message_gets_a_long_timeout() {
     let mut harness = SenderHarness::new(settings(), vec![entry(1, 7)]);
@@ -85,13 +85,13 @@
             _ => None,
         })
     };
-    assert_eq!(timeout_of(harness.demand(50, 7, 2)), Some(8 * S), "two aims");
+    assert_eq!(timeout_of(harness.demand(50, 7, 2)), Some(8 * S), "twice the aim");
     harness.returns(50, Outcome::Ok);
     harness.wait(S);
-    assert!(timeout_of(harness.demand(51, 7, 0)).unwrap() < 2 * S, "a safe message is repeated sooner");
+    assert!(timeout_of(harness.demand(51, 7, 0)).unwrap() < 2 * S, "a safe message gets a shorter timeout");
 }
 
-/// Guards against a partner that can't be reached without its first mail exchanger although it names a second
+/// Guards against a partner that can't be reached while its first mail exchanger is out although it names a second
 /// one, and against a second mail exchanger that gets messages while the first is healthy.
 #[test]
 fn an_endpoint_of_a_higher_rank_is_used_while_the_lower_is_out() {
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -26,7 +26,7 @@
     courier_after(dir, now, None)
 }
 
-/// Starts a courier as [`courier`] does, or as the successor of a process that handed over its state.
+/// Starts a courier as [`courier`] does, or as the new process of a handover.
 fn courier_after(dir: &Path, now: Micros, handed_over: Option<HandoverState>) -> Courier {
     let mut settings = settings();
     settings.classes = vec![class(keyed()), class(Effect::Unsafe)];
@@ -132,8 +132,8 @@
     }
 }
 
-/// During an upgrade an attempt may still wait for its connection. Guards against its end, which the successor is told,
-/// being taken for the outcome of the earlier process's call.
+/// During a handover an attempt may still wait for its connection, and its end is reported to the new process. Guards
+/// against this end being taken for the outcome of the earlier process's call.
 #[test]
 fn an_attempt_that_never_began_across_a_handover_does_not_settle_the_call_of_an_earlier_process() {
     for end in ENDS_BEFORE_FIRST_BYTE {
--- a/tests/lives.rs
+++ b/tests/uncertain_calls_across_runs.rs
@@ -1,5 +1,5 @@
-//! The journal of a courier keeps across process runs that an earlier call may have taken effect, whatever later calls
-//! return. Several couriers are killed at once, twice, while calls are in flight.
+//! A courier's journal records that an earlier call may have taken effect, and keeps this record across process runs,
+//! whatever later calls return. Several couriers are killed at once, twice, while calls are in flight.
 
 mod support;
 
@@ -14,8 +14,8 @@
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const COURIER_COUNT: usize = 3;
 
-/// Starts the partner's endpoint. The first call of a message `h…` hangs, so it may have taken effect; the first call of
-/// `n…` is turned away, so it has not. All second calls are turned away, and all later ones are accepted.
+/// Starts the partner's endpoint. The first call of a message `h…` hangs, so it may have taken effect; the first call
+/// of `n…` is rejected with 503, so it has not. All second calls are rejected, and all later ones are accepted.
 fn start_partner() -> Endpoint {
     endpoint(|id, nth| match nth {
         1 if id.starts_with('h') => Act::Hang,
@@ -45,7 +45,7 @@
 }
 
 /// Guards against a duplicate delivery that a long-running test found. The call of the first run was in flight when the
-/// process was killed, and the call of the second run was turned away within the window. The third run found only the
+/// process was killed, and the call of the second run was rejected within the window. The third run found only the
 /// second call in its journal, and called again after the partner had forgotten the key.
 #[test]
 fn a_call_in_flight_at_a_kill_is_never_repeated_outside_its_window() {
