--- a/tests/succession.rs
+++ b/tests/journal_start_mode.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_outcome_without_a_begin_does_not_settle_the_call_of_an_earlier_process() {
+fn an_outcome_without_a_start_does_not_settle_the_call_of_an_earlier_process() {
     for rewritten in [false, true] {
         let dir = tempdir().unwrap();
         leave_call_in_flight(dir.path());
--- a/tests/unbegun_attempts.rs
+++ b/tests/unbegun_attempts.rs
@@ -30,8 +30,8 @@
 fn courier_after(dir: &Path, now: Micros, handed_over: Option<HandoverState>) -> Courier {
     let mut settings = settings();
     settings.classes = vec![class(keyed()), class(Effect::Unsafe)];
-    let succession = if handed_over.is_some() { StartMode::Handover } else { StartMode::Restart };
-    let journal = Journal::open_as(dir, DISK, now, 0, succession).unwrap();
+    let start_mode = if handed_over.is_some() { StartMode::Handover } else { StartMode::Restart };
+    let journal = Journal::open_as(dir, DISK, now, 0, start_mode).unwrap();
     let options = Options { handed_over, ..Options::default() };
     let courier = Courier::new(settings, 1, Clock::at(now), journal, options);
     report_list(&courier);
