--- a/tests/platform.rs
+++ b/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's front, spoken to over sockets: the program itself, a stand-in discovery and endpoints.
+//! The platform's protocol frontend over sockets: the program itself with a simulated discovery and simulated endpoints.
 
 mod support;
 
@@ -20,7 +20,7 @@
     })
 }
 
-fn api(id: &str, class: &str, deadline_ms: u64, dest: u16, body: &str) -> String {
+fn request(id: &str, class: &str, deadline_ms: u64, dest: u16, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: tallowood\r\n\
          Req-Deadline-Ms: {deadline_ms}\r\nIdempotency-Key: key-{id}\r\nContent-Length: {}\r\n\
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_message_is_taken_and_passed_on_unchanged() {
+fn a_message_is_accepted_and_delivered_unchanged() {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
@@ -38,19 +38,19 @@
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let addr = program.addr("platform");
     assert_eq!(ask(addr, b"GET /health/ready HTTP/1.1\r\n\r\n").status(), 200);
-    assert_eq!(ask(addr, api("m1", "print-order", 20_000, 3, "a\0b\r\n\r\nc").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("m1", "print-order", 20_000, 3, "a\0b\r\n\r\nc").as_bytes()).status(), 202);
     until("the call", || endpoint.count("m1") == 1);
     let call = endpoint.calls.lock().unwrap()[0].clone();
     assert_eq!(call.head[0], "POST /hook HTTP/1.1");
     assert_eq!(call.header("idempotency-key"), Some("key-m1"));
     assert_eq!(call.body, b"a\0b\r\n\r\nc");
-    // Its client counts from when it sent the request, up to 400 ms ago; an end may be 300 ms late.
+    // The client counts from when it sent the request, up to 400 ms earlier; an end may be 300 ms late.
     assert!((1..=19_900).contains(&call.header("req-deadline-ms").unwrap().parse::<u64>().unwrap()));
 }
 
-/// Guards against a session that stops at the first request, or mixes up two that came in one packet.
+/// Guards against a session that ends after the first request, or confuses two that arrived in one packet.
 #[test]
-fn a_session_serves_many_requests_cut_anywhere() {
+fn a_session_serves_several_requests_split_at_any_byte() {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
@@ -58,8 +58,9 @@
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let mut stream = TcpStream::connect(program.addr("platform")).unwrap();
     let mut reader = BufReader::new(stream.try_clone().unwrap());
-    let both = api("p1", "render-status", 5000, 3, "one") + &api("p2", "render-status", 5000, 3, "two");
-    for part in both.as_bytes().chunks(37) {
+    let all =
+        request("p1", "render-status", 5000, 3, "one") + &request("p2", "render-status", 5000, 3, "two");
+    for part in all.as_bytes().chunks(37) {
         stream.write_all(part).unwrap();
     }
     assert_eq!(read_http(&mut reader).unwrap().status(), 202);
@@ -68,14 +69,14 @@
 }
 
 #[test]
-fn what_is_malformed_is_refused_in_clear_words() {
+fn malformed_requests_are_refused_with_their_status() {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
     let folder = Folder::new();
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let addr = program.addr("platform");
-    let good = api("bad", "print-order", 20_000, 3, "x");
+    let good = request("bad", "print-order", 20_000, 3, "x");
     let cases = [
         ("\x01\x02 garbage\r\n\r\n".to_owned(), 400),
         (good.replace("Req-Kind: print-order", "Req-Kind: poster"), 400),
@@ -94,17 +95,17 @@
     for (request, status) in cases {
         assert_eq!(ask(addr, request.as_bytes()).status(), status, "{request}");
     }
-    // No backend was ever listed there; once the list has come it is a failure, before it a refusal.
+    // No backend was ever listed for this destination. That is a failure once the list has arrived, and a refusal before.
     until("the list", || ask(addr, good.replace("dest=3", "dest=99").as_bytes()).status() == 404);
-    assert_eq!(ask(addr, api("good", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("good", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
     until("the call", || endpoint.count("good") == 1);
     assert_eq!(endpoint.count("bad"), 0);
 }
 
-/// Guards against a message forgotten, or delivered twice, over SIGKILL: one that was delivered, one that was
-/// out, and one that had not been sent.
+/// Guards against messages that are lost or delivered twice because of SIGKILL: one had been delivered, one was in
+/// flight, and one had not been sent.
 #[test]
-fn what_is_owed_outlasts_a_kill() {
+fn pending_messages_survive_a_kill() {
     let endpoint = endpoint(|id, nth| match (id, nth) {
         ("out", 1) => Act::Hang,
         _ => Act::Answer(OK),
@@ -116,25 +117,24 @@
     let config = config(&discovery, &list, 60_000);
     let mut program = Program::start(&folder.0, &config, None);
     let addr = program.addr("platform");
-    assert_eq!(ask(addr, api("done", "print-order", 60_000, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("done", "print-order", 60_000, 3, "x").as_bytes()).status(), 202);
     until("the first call", || endpoint.count("done") == 1);
-    assert_eq!(ask(addr, api("out", "print-order", 60_000, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("out", "print-order", 60_000, 3, "x").as_bytes()).status(), 202);
     until("the second call", || endpoint.count("out") == 1);
-    assert_eq!(ask(addr, api("waits", "print-order", 60_000, 4, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("waits", "print-order", 60_000, 4, "x").as_bytes()).status(), 202);
     program.kill();
-    // The drain is over in the next life.
+    // The drain has ended when the next process run starts.
     *discovery.list.lock().unwrap() =
         (8, [instance("s-1", endpoint.addr, 3, "up"), instance("s-2", endpoint.addr, 4, "up")].join(","));
     let _program = Program::start(&folder.0, &config, None);
-    until("the one that was out, again", || endpoint.count("out") == 2);
+    until("the second call of the one in flight", || endpoint.count("out") == 2);
     until("the one that waited", || endpoint.count("waits") == 1);
-    assert_eq!(endpoint.count("done"), 1, "delivered once, and known to be");
+    assert_eq!(endpoint.count("done"), 1, "its delivery was recorded");
 }
 
-/// Guards against a silent end: a message that can't be delivered is answered with a notice, also when its time
-/// ran out while no courier was there.
+/// Guards against a message that ends without delivery or notice, also when its deadline passes while no courier runs.
 #[test]
-fn an_end_without_delivery_is_noticed() {
+fn an_end_without_delivery_is_notified() {
     let endpoint = endpoint(|_, _| Act::Hang);
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
@@ -142,19 +142,19 @@
     let config = config(&discovery, &list, 20_000);
     let mut program = Program::start(&folder.0, &config, None);
     let addr = program.addr("platform");
-    assert_eq!(ask(addr, api("hangs", "print-order", 400, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("hangs", "print-order", 400, 3, "x").as_bytes()).status(), 202);
     until("its notice", || discovery.noticed("hangs").is_some());
-    assert_eq!(discovery.noticed("hangs").unwrap()["outcome"], "given_up", "it may have run");
-    assert_eq!(ask(addr, api("late", "print-order", 300, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(discovery.noticed("hangs").unwrap()["outcome"], "given_up", "it may have taken effect");
+    assert_eq!(ask(addr, request("late", "print-order", 300, 3, "x").as_bytes()).status(), 202);
     program.kill();
     std::thread::sleep(std::time::Duration::from_millis(400));
     let _program = Program::start(&folder.0, &config, None);
-    until("the notice of the next life", || discovery.noticed("late").is_some());
+    until("the notice of the next process run", || discovery.noticed("late").is_some());
 }
 
-/// Guards against a notice that is lost with a connection that was cut off: such a one stays open and silent.
+/// Guards against a notice that is lost with a connection that was cut off, which stays open and silent.
 #[test]
-fn a_notice_is_told_until_it_is_heard() {
+fn a_notice_is_sent_until_it_is_acknowledged() {
     let endpoint = endpoint(|_, _| Act::Hang);
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
@@ -162,15 +162,14 @@
     let folder = Folder::new();
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let addr = program.addr("platform");
-    assert_eq!(ask(addr, api("n1", "print-order", 300, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("n1", "print-order", 300, 3, "x").as_bytes()).status(), 202);
     until("the notice", || discovery.noticed("n1").is_some());
-    assert_eq!(discovery.mute.load(Ordering::SeqCst), 0, "both that were not answered came first");
+    assert_eq!(discovery.mute.load(Ordering::SeqCst), 0, "the two unanswered notices came first");
 }
 
-/// Guards against a list that grows old behind a watch that died without a word: discovery's machine vanished,
-/// and the connection stays open.
+/// Guards against a stale list behind a dead watch: discovery's machine has vanished, and the connection stays open.
 #[test]
-fn a_silent_watch_is_opened_anew() {
+fn a_silent_watch_is_reopened() {
     let (old, new) = (endpoint(|_, _| Act::Answer(OK)), endpoint(|_, _| Act::Answer(OK)));
     let list = instance("s-1", old.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
@@ -179,23 +178,23 @@
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let addr = program.addr("platform");
     until("the first watch", || discovery.watches.load(Ordering::SeqCst) == 1);
-    // Time for the first list to be told; if it is not, the second watch tells the same news.
-    assert_eq!(ask(addr, api("q1", "render-status", 5000, 3, "x").as_bytes()).status(), 202);
+    // Time for the first list to arrive; if it does not, the second watch has the same content.
+    assert_eq!(ask(addr, request("q1", "render-status", 5000, 3, "x").as_bytes()).status(), 202);
     until("the first call", || old.count("q1") == 1);
     *discovery.list.lock().unwrap() =
         (8, [instance("s-1", old.addr, 3, "draining"), instance("s-2", new.addr, 3, "up")].join(","));
     until("the second watch", || discovery.watches.load(Ordering::SeqCst) == 2);
-    until("a call to the new one", || {
+    until("a call to the new endpoint", || {
         let id = format!("q{}", new.calls.lock().unwrap().len() + old.calls.lock().unwrap().len() + 2);
-        assert_eq!(ask(addr, api(&id, "render-status", 5000, 3, "x").as_bytes()).status(), 202);
+        assert_eq!(ask(addr, request(&id, "render-status", 5000, 3, "x").as_bytes()).status(), 202);
         until("its call", || old.count(&id) + new.count(&id) == 1);
         new.count(&id) == 1
     });
 }
 
-/// Guards against a told wait that one message keeps and another breaks.
+/// Guards against a demanded wait that one message honours and another violates.
 #[test]
-fn a_told_wait_binds_all_messages_of_the_destination() {
+fn a_demanded_wait_holds_for_all_messages_of_the_destination() {
     let times = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let seen = times.clone();
     let endpoint = endpoint(move |_, _| {
@@ -213,20 +212,20 @@
     let folder = Folder::new();
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let addr = program.addr("platform");
-    assert_eq!(ask(addr, api("w1", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("w1", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
     until("the wait", || times.lock().unwrap().len() == 1);
-    // The refusal is written by now, and far from its end.
+    // The refusal has been written by now, and most of its wait is left.
     std::thread::sleep(std::time::Duration::from_millis(150));
-    assert_eq!(ask(addr, api("w2", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("w2", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
     until("both", || times.lock().unwrap().len() == 3);
     assert_eq!((endpoint.count("w1"), endpoint.count("w2")), (2, 1));
     let times = times.lock().unwrap();
-    assert!((times[1] - times[0]).as_millis() >= 700, "sent within the wait");
+    assert!((times[1] - times[0]).as_millis() >= 700, "sent before the wait ended");
 }
 
-/// Guards against an end by SIGTERM that is too late, loses a request, or counts as a failure.
+/// Guards against a shutdown by SIGTERM that takes too long, loses a request, or counts as a failure.
 #[test]
-fn sigterm_is_served_through_and_ends_in_time() {
+fn requests_are_served_after_sigterm_and_the_process_ends_in_time() {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
@@ -234,40 +233,40 @@
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let addr = program.addr("platform");
     let mut idle = TcpStream::connect(addr).unwrap();
-    let begun = Instant::now();
+    let started = Instant::now();
     program.signal("TERM");
-    assert_eq!(ask(addr, api("t1", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
+    assert_eq!(ask(addr, request("t1", "print-order", 20_000, 3, "x").as_bytes()).status(), 202);
     until("the call", || endpoint.count("t1") == 1);
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "closed between requests");
     let status = program.child.wait().unwrap();
     assert!(status.success(), "{status}");
-    assert!(begun.elapsed().as_millis() < 3700, "{:?}", begun.elapsed());
+    assert!(started.elapsed().as_millis() < 3700, "{:?}", started.elapsed());
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_and_an_exit() {
+fn an_invalid_configuration_is_reported_in_one_line_and_ends_the_process() {
     let folder = Folder::new();
     let mail = folder.write("mail.json", r#"{"enabled":true,"hostname":"h","smtp":"127.0.0.1:0","zones":[{"origin":"p.example","file":"p.zone"}]}"#);
     folder
         .write("p.zone", "$TTL 60\n@ IN SOA ns h ( 1 2 3 4 5 )\nmail IN A 127.0.0.1\nweb IN A 127.0.0.1.9\n");
-    let no_front = serde_json::json!({"settings": settings(1000)}).to_string();
-    for (config, mail, says) in [
+    let no_frontend = serde_json::json!({"settings": settings(1000)}).to_string();
+    for (config, mail, expected) in [
         ("{", None, "NODE_CONFIG"),
         ("{}", None, "settings"),
-        (&no_front, None, "listen"),
-        (&no_front, Some(&*mail), "p.zone:4"),
+        (&no_frontend, None, "listen"),
+        (&no_frontend, Some(&*mail), "p.zone:4"),
     ] {
         let mut program = Program::spawn(&folder.0, config, mail);
-        let said = program.line("indigohold: ");
-        assert!(said.contains(says), "{said}");
+        let line = program.line("indigohold: ");
+        assert!(line.contains(expected), "{line}");
         assert_eq!(program.child.wait().unwrap().code(), Some(1));
     }
 }
 
-/// Guards against a courier that dies of SIGHUP, takes a bad file for a good one, or goes on asking and telling the
-/// old discovery: its watch, its kept connection, a notice that waits for an answer there, and the next start.
+/// Guards against a courier that SIGHUP ends, that applies an invalid file, or that keeps using discovery's old address:
+/// for the watch, the reused connection, a notice that waits for its response there, or after the next start.
 #[test]
-fn sighup_moves_discovery_and_a_bad_file_does_not() {
+fn sighup_changes_discovery_s_address_and_an_invalid_file_does_not() {
     let (before, after) = (endpoint(|_, _| Act::Hang), endpoint(|_, _| Act::Answer(OK)));
     let (one, two) = (instance("s-1", before.addr, 3, "up"), instance("s-2", after.addr, 4, "up"));
     let old = discovery(std::slice::from_ref(&one));
@@ -278,30 +277,30 @@
     let mut program = Program::start(&folder.0, &first, None);
     let addr = program.addr("platform");
     until("the first watch", || old.watches.load(Ordering::SeqCst) == 1);
-    assert_eq!(ask(addr, api("h1", "print-order", 300, 3, "x").as_bytes()).status(), 202);
-    until("a notice on a connection that is kept", || old.noticed("h1").is_some());
+    assert_eq!(ask(addr, request("h1", "print-order", 300, 3, "x").as_bytes()).status(), 202);
+    until("a notice on a connection that is reused", || old.noticed("h1").is_some());
 
     folder.write("config.json", "{\"discovery\":");
     program.signal("HUP");
-    let said = program.line_with("the configuration stays as it was");
-    assert!(said.contains("NODE_CONFIG"), "{said}");
+    let line = program.line_with("the configuration stays as it was");
+    assert!(line.contains("NODE_CONFIG"), "{line}");
     let mut nowhere = first.clone();
     nowhere["discovery"] = "nowhere".into();
     folder.write("config.json", &nowhere.to_string());
     program.signal("HUP");
     program.line_with("discovery: nowhere");
-    assert_eq!(old.watches.load(Ordering::SeqCst), 1, "the watch was left alone");
+    assert_eq!(old.watches.load(Ordering::SeqCst), 1, "the watch was not reopened");
 
-    // A notice waits for its answer at the old address, which stays silent for good.
+    // A notice waits for its response from the old address, which never answers.
     old.mute.store(1000, Ordering::SeqCst);
-    assert_eq!(ask(addr, api("h2", "print-order", 300, 3, "x").as_bytes()).status(), 202);
-    until("the notice under way", || old.mute.load(Ordering::SeqCst) < 1000);
+    assert_eq!(ask(addr, request("h2", "print-order", 300, 3, "x").as_bytes()).status(), 202);
+    until("the unanswered notice", || old.mute.load(Ordering::SeqCst) < 1000);
     let second = config(&new, &one, 20_000);
     folder.write("config.json", &second.to_string());
     program.signal("HUP");
     until("the notice at the new address", || new.noticed("h2").is_some());
     until("the new watch", || new.watches.load(Ordering::SeqCst) == 1);
-    let to_new = || ask(addr, api("h3", "render-status", 5000, 4, "x").as_bytes()).status();
+    let to_new = || ask(addr, request("h3", "render-status", 5000, 4, "x").as_bytes()).status();
     until("the list of the new address", || to_new() == 202);
     until("the call", || after.count("h3") == 1);
 
@@ -309,14 +308,14 @@
     program.kill();
     let watches = old.watches.load(Ordering::SeqCst);
     let _program = Program::spawn_with(&folder.0, &second.to_string(), None, Some(old.addr));
-    until("the watch of the next life", || new.watches.load(Ordering::SeqCst) == 2);
+    until("the watch of the next process run", || new.watches.load(Ordering::SeqCst) == 2);
     assert_eq!(old.watches.load(Ordering::SeqCst), watches);
 }
 
-/// Guards against places that are held by clients without a request: those that say nothing, that asked once and
-/// stay, or that stop in the middle of a request. Newcomers find room, and each of them is closed.
+/// Guards against places that are held by clients without a complete request: clients that send nothing, that stay after
+/// one request, or that stop in the middle of one. New clients get a place, and the old connections are closed.
 #[test]
-fn sessions_without_a_request_make_room() {
+fn sessions_without_a_request_are_closed_for_new_clients() {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
@@ -331,44 +330,44 @@
         stream.write_all(text.as_bytes()).unwrap();
         stream
     };
-    let asked_once = || {
+    let request_once = || {
         let mut reader = BufReader::new(connect("GET /health/ready HTTP/1.1\r\n\r\n"));
         let status = read_http(&mut reader).map(|answer| answer.status());
         (status, reader)
     };
     let half =
-        api("half", "print-order", 20_000, 3, "half").replace("Content-Length: 4", "Content-Length: 5");
+        request("half", "print-order", 20_000, 3, "half").replace("Content-Length: 4", "Content-Length: 5");
     let mut kept = Vec::new();
-    for begins in ["", "POST /ap", &half] {
-        // More of them than there are places, and then one who means it.
-        let begun = Instant::now();
-        let mut held: Vec<TcpStream> = (0..90).map(|_| connect(begins)).collect();
+    for text in ["", "POST /ap", &half] {
+        // More such clients than there are places, and then one with a request.
+        let started = Instant::now();
+        let mut held: Vec<TcpStream> = (0..90).map(|_| connect(text)).collect();
         until("a place", || {
-            let (status, reader) = asked_once();
+            let (status, reader) = request_once();
             kept.push(reader);
             status == Some(200)
         });
         for stream in &mut held {
-            // An error: it was closed with something unread.
+            // A read error means that the connection was closed with unread input.
             let _ = stream.read_to_end(&mut Vec::new());
         }
-        assert!(begun.elapsed().as_secs() < 8, "{begins:?}: closed after {:?}", begun.elapsed());
+        assert!(started.elapsed().as_secs() < 8, "{text:?}: closed after {:?}", started.elapsed());
     }
     let mut stay = Vec::new();
-    let begun = Instant::now();
-    until("all places taken by those who stay", || {
-        stay.push(asked_once());
+    let started = Instant::now();
+    until("all places are taken by clients that stay", || {
+        stay.push(request_once());
         stay.len() == 90
     });
-    until("a place for one more", || asked_once().0 == Some(200));
-    assert_eq!(stay[0].1.read(&mut [0]).unwrap(), 0, "the one idle longest made room");
-    assert!(begun.elapsed().as_secs() < 20, "{:?}: not only because it idled for long", begun.elapsed());
+    until("a place for one more", || request_once().0 == Some(200));
+    assert_eq!(stay[0].1.read(&mut [0]).unwrap(), 0, "the connection that was idle longest is closed");
+    assert!(started.elapsed().as_secs() < 20, "{:?}: not closed by the idle timeout", started.elapsed());
 }
 
-/// Guards against spoilt answers: a refusal that is not whole proves nothing, a first line with 200 is true whatever
-/// follows, an answer without end holds no slot, and what came before or behind the answer belongs to no other call.
+/// Guards against wrong use of invalid responses: an incomplete refusal proves nothing, a status line with 200 counts
+/// whatever follows, an endless response occupies no slot, and bytes around a response belong to no other call.
 #[test]
-fn spoilt_answers_are_told_from_good_ones() {
+fn invalid_responses_are_distinguished_from_valid_ones() {
     const LONG_HEAD: &str = "HTTP/1.1 200 OK\r\nX: ";
     let endpoint = endpoint(|id, nth| {
         match (id, nth) {
@@ -388,43 +387,44 @@
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
     let folder = Folder::new();
-    // Within its group's window a spoilt one is repeated; over mail and after the window it would not be.
+    // Within its group's window a call with an invalid response is repeated; over mail or after the window it is not.
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 7_000), None);
     let addr = program.addr("platform");
-    let once = ["interim", "noise-200", "open-200", "huge-200", "twice", "plain"];
-    for id in once {
-        assert_eq!(ask(addr, api(id, "print-order", 7_000, 3, "x").as_bytes()).status(), 202);
+    let delivered = ["interim", "noise-200", "open-200", "huge-200", "twice", "plain"];
+    for id in delivered {
+        assert_eq!(ask(addr, request(id, "print-order", 7_000, 3, "x").as_bytes()).status(), 202);
         until(id, || endpoint.count(id) == 1);
     }
     for id in ["noise", "short-503", "short-410", "short-504"] {
-        assert_eq!(ask(addr, api(id, "print-order", 7_000, 3, "x").as_bytes()).status(), 202);
+        assert_eq!(ask(addr, request(id, "print-order", 7_000, 3, "x").as_bytes()).status(), 202);
         until("a second call", || endpoint.count(id) == 2);
     }
-    for id in once {
+    for id in delivered {
         assert_eq!((endpoint.count(id), discovery.noticed(id)), (1, None), "{id} was delivered");
     }
-    // What may have run is never handed back: its client would hand it in again.
-    assert_eq!(ask(addr, api("for-good", "print-order", 1_500, 3, "x").as_bytes()).status(), 202);
+    // A message that may have taken effect is never handed back, because its client would submit it again.
+    assert_eq!(ask(addr, request("for-good", "print-order", 1_500, 3, "x").as_bytes()).status(), 202);
     until("its end", || discovery.noticed("for-good").is_some());
     assert_eq!(discovery.noticed("for-good").unwrap()["outcome"], "given_up");
 }
 
-/// Guards against a client that sends the same bad request as soon as it is turned away: each answer comes, but the
-/// next request waits, twice as long each time.
+/// Guards against a client that repeats an invalid request as soon as it is refused: each is answered, but the next request
+/// is read only after a pause, which doubles each time.
 #[test]
-fn a_client_that_repeats_a_bad_request_waits_between() {
+fn a_client_that_repeats_an_invalid_request_is_slowed_down() {
     let endpoint = endpoint(|_, _| Act::Answer(OK));
     let list = instance("s-1", endpoint.addr, 3, "up");
     let discovery = discovery(std::slice::from_ref(&list));
     let folder = Folder::new();
     let mut program = Program::start(&folder.0, &config(&discovery, &list, 20_000), None);
     let mut stream = TcpStream::connect(program.addr("platform")).unwrap();
-    let bad = api("b", "print-order", 20_000, 3, "x").replace("Req-Kind: print-order", "Req-Kind: poster");
-    let begun = Instant::now();
+    let bad =
+        request("b", "print-order", 20_000, 3, "x").replace("Req-Kind: print-order", "Req-Kind: poster");
+    let started = Instant::now();
     stream.write_all(bad.repeat(5).as_bytes()).unwrap();
     let mut reader = BufReader::new(stream);
     for _ in 0..5 {
         assert_eq!(read_http(&mut reader).unwrap().status(), 400);
     }
-    assert!(begun.elapsed().as_millis() >= 300, "{:?}: 20 + 40 + 80 + 160 ms", begun.elapsed());
+    assert!(started.elapsed().as_millis() >= 300, "{:?}: 20 + 40 + 80 + 160 ms", started.elapsed());
 }
