--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -1,5 +1,6 @@
-//! Several messages in one call, over sockets: what a whole answer says of each, and what is made of one that is cut anywhere,
-//! spoilt, or never comes. With one slot, what is handed in while a call is out goes as one call when it ends.
+//! Batches over sockets: a complete response decides the end of each message; a response may also be truncated at any byte,
+//! invalid, or missing. The courier has one slot, so messages submitted while a call is in flight are sent as one batch when
+//! it ends.
 
 mod support;
 
@@ -10,9 +11,9 @@
 use support::partner::*;
 use support::*;
 
-/// Twenty go in one call, as they were handed in; each ends by what the answer says of it.
+/// Twenty messages are sent unchanged in one call, and each ends as the response says.
 #[test]
-fn twenty_go_in_one_call_and_each_has_an_end_of_its_own() {
+fn each_of_twenty_messages_in_one_call_ends_by_its_own_state() {
     let world = world(partner(|nth, items| {
         let state = |i: usize| match i {
             _ if nth > 0 => "done",
@@ -23,7 +24,7 @@
         };
         let mut states: Vec<_> = ids(items).into_iter().enumerate().map(|(i, id)| (id, state(i))).collect();
         if nth == 0 {
-            // The fifth is not told at all; the stranger says nothing of anyone.
+            // The response omits the fifth message, and has a state for an unknown id, which concerns none of them.
             states[4].0 = "stranger".into();
         }
         Reply::Keeps(told(&states, ""))
@@ -31,20 +32,20 @@
     let (_program, addr) = world.start();
     let all = named("m", 20);
     world.together(addr, "gate", "print-order", &all);
-    until("the ones to repeat", || {
+    until("the second calls of three messages", || {
         let copies = world.copies();
-        let single = world.partner.singles.lock().unwrap().clone();
-        let again = |id: &str| copies.get(id) == Some(&2) || single.iter().any(|s| s == id);
+        let singles = world.partner.singles.lock().unwrap().clone();
+        let called_again = |id: &str| copies.get(id) == Some(&2) || singles.iter().any(|s| s == id);
         world.partner.gate.send(()).unwrap();
-        ["m-1", "m-2", "m-4"].iter().all(|id| again(id))
+        ["m-1", "m-2", "m-4"].iter().all(|id| called_again(id))
     });
     let first = &world.batches()[0];
     assert_eq!(first.len(), 20, "one call");
-    let mut sorted = ids(first);
-    sorted.sort();
-    let mut wanted = all.clone();
-    wanted.sort();
-    assert_eq!(sorted, wanted);
+    let mut sent = ids(first);
+    sent.sort();
+    let mut submitted = all.clone();
+    submitted.sort();
+    assert_eq!(sent, submitted);
     for item in first {
         assert_eq!(item["key"], format!("key-{}", item["id"].as_str().unwrap()));
         assert_eq!(item["body"], "YQBiImM=");
@@ -56,14 +57,14 @@
     assert!(world.discovery.notices.lock().unwrap().is_empty());
 }
 
-/// An answer that is cut proves nothing, wherever it is cut and whichever way: what can't be repeated is given up, and goes
-/// nowhere a second time. The whole answer delivers.
+/// A truncated response proves nothing, wherever it ends and whether by FIN or by RST: a message that must not be repeated is
+/// given up and not sent again. The complete response delivers.
 #[test]
-fn an_answer_cut_at_any_byte_is_no_delivery_and_no_reason_to_send_again() {
-    let whole = |items: &[Value]| all_done(items).into_bytes();
+fn a_response_truncated_at_any_byte_neither_delivers_nor_causes_a_second_call() {
+    let response = |items: &[Value]| all_done(items).into_bytes();
     let world = world(partner(move |nth, items| {
-        let bytes = whole(items);
-        // Every seventh byte, by turns by an end and by a reset; the last is whole.
+        let bytes = response(items);
+        // Cut at every seventh byte, by FIN and by RST in turn; the last response is complete.
         let cut = (nth * 7).min(bytes.len());
         match (cut == bytes.len(), nth % 2) {
             (true, _) => Reply::Keeps(String::from_utf8(bytes).unwrap()),
@@ -73,26 +74,26 @@
     }));
     let (_program, addr) = world.start();
     let length = all_done(&[json!({"id": "c00-0"}), json!({"id": "c00-1"})]).len();
-    let turns = length.div_ceil(7);
-    for turn in 0..=turns {
-        let all = named(&format!("c{turn:02}"), 2);
-        // A call that is taken brings a backend back that was found out.
-        world.together(addr, &format!("gate{turn:02}"), "render-status", &all);
-        until("the batch", || world.batches().len() > turn);
-        if turn < turns {
-            until("the ends", || all.iter().all(|id| world.discovery.noticed(id).is_some()));
+    let rounds = length.div_ceil(7);
+    for round in 0..=rounds {
+        let all = named(&format!("c{round:02}"), 2);
+        // The gate's call succeeds, which restores a backend that was ejected.
+        world.together(addr, &format!("gate{round:02}"), "render-status", &all);
+        until("the batch", || world.batches().len() > round);
+        if round < rounds {
+            until("the notices", || all.iter().all(|id| world.discovery.noticed(id).is_some()));
             assert!(all.iter().all(|id| world.discovery.noticed(id).unwrap()["outcome"] == "given_up"));
         }
     }
     assert!(world.copies().values().all(|n| *n == 1), "{:?}", world.copies());
-    let last = named(&format!("c{turns:02}"), 2);
-    assert!(last.iter().all(|id| world.discovery.noticed(id).is_none()), "the whole answer delivers");
+    let last = named(&format!("c{rounds:02}"), 2);
+    assert!(last.iter().all(|id| world.discovery.noticed(id).is_none()), "the complete response delivers");
 }
 
-/// A courier is killed while a batch is out and starts again: the keyed ones go once more under their keys, those that can't be
-/// repeated are given up.
+/// A courier is killed while a batch is in flight, and restarted. Repeatable messages are sent once more under their
+/// keys; those that must not be repeated are given up.
 #[test]
-fn a_batch_that_was_out_when_its_process_was_killed_may_have_run() {
+fn a_batch_in_flight_when_the_process_was_killed_may_have_taken_effect() {
     let world = world(partner(|nth, items| match nth {
         0 => Reply::Silent,
         _ => Reply::Keeps(all_done(items)),
@@ -100,29 +101,29 @@
     let (program, addr) = world.start();
     assert_eq!(hand_in(addr, "gate", "print-order"), 202);
     until("the call that holds the slot", || !world.partner.singles.lock().unwrap().is_empty());
-    let (keyed, once) = (named("k", 4), named("u", 4));
-    keyed.iter().for_each(|id| assert_eq!(hand_in(addr, id, "print-order"), 202));
-    once.iter().for_each(|id| assert_eq!(hand_in(addr, id, "render-status"), 202));
+    let (repeatable, unrepeatable) = (named("k", 4), named("u", 4));
+    repeatable.iter().for_each(|id| assert_eq!(hand_in(addr, id, "print-order"), 202));
+    unrepeatable.iter().for_each(|id| assert_eq!(hand_in(addr, id, "render-status"), 202));
     world.partner.gate.send(()).unwrap();
-    until("a batch of both", || world.batches().first().is_some_and(|b| b.len() == 8));
+    until("a batch of both kinds", || world.batches().first().is_some_and(|batch| batch.len() == 8));
     program.kill();
     let (_program, _) = world.start();
-    until("those that can't be repeated are given up", || {
-        once.iter().all(|id| world.discovery.noticed(id).is_some_and(|n| n["outcome"] == "given_up"))
+    until("messages that must not be repeated are given up", || {
+        unrepeatable.iter().all(|id| world.discovery.noticed(id).is_some_and(|n| n["outcome"] == "given_up"))
     });
-    let again = |id: &String| {
+    let called_again = |id: &String| {
         world.partner.gate.send(()).unwrap();
         world.copies()[id] == 2 || world.partner.singles.lock().unwrap().contains(id)
     };
-    until("the keyed ones go again", || keyed.iter().all(again));
-    assert!(once
+    until("the second calls of the repeatable messages", || repeatable.iter().all(called_again));
+    assert!(unrepeatable
         .iter()
         .all(|id| world.copies()[id] == 1 && !world.partner.singles.lock().unwrap().contains(id)));
 }
 
-/// Told to end while a batch is out: it ends in time, and what the answer says counts.
+/// SIGTERM arrives while a batch is in flight: the process ends in time, and the response still counts.
 #[test]
-fn a_batch_that_is_out_at_sigterm_is_heard_to_its_end() {
+fn the_response_to_a_batch_in_flight_at_sigterm_is_awaited() {
     let world = world(partner(|_, items| {
         thread::sleep(Duration::from_millis(900));
         Reply::Keeps(all_done(items))
@@ -130,10 +131,10 @@
     let (mut program, addr) = world.start();
     world.together(addr, "gate", "render-status", &named("t", 5));
     until("the batch", || world.batches().len() == 1);
-    let at = Instant::now();
+    let signalled = Instant::now();
     program.signal("TERM");
     assert!(program.child.wait().unwrap().success());
-    assert!(at.elapsed() < Duration::from_millis(3_700), "{:?}", at.elapsed());
+    assert!(signalled.elapsed() < Duration::from_millis(3_700), "{:?}", signalled.elapsed());
     let (mut program, _) = world.start();
     let ready = program.line("indigohold: ready");
     assert!(ready.contains(" 0 messages are owed"), "{ready}");
@@ -141,10 +142,10 @@
     assert!(world.copies().values().all(|n| *n == 1));
 }
 
-/// Members with different time-outs: the one whose is over first must not go again while the call that it is in stays open for
-/// the others. One fetch out for a message is all that these settings allow.
+/// Members have different timeouts: the one that times out first must not be sent again while its call stays open for the
+/// others. These settings allow one fetch in flight per message.
 #[test]
-fn a_member_that_times_out_first_has_no_second_copy_out() {
+fn a_member_that_times_out_first_has_no_second_copy_in_flight() {
     let world = world(partner(|nth, items| match nth {
         0 => Reply::Silent,
         _ => Reply::Keeps(all_done(items)),
@@ -154,19 +155,19 @@
     let world = World { config, ..world };
     let (_program, addr) = world.start();
     assert_eq!(hand_in(addr, "wait", "print-order"), 202);
-    until("the wait", || !world.partner.singles.lock().unwrap().is_empty());
-    let (keyed, once) = (named("k", 2), named("u", 2));
-    keyed.iter().for_each(|id| assert_eq!(hand_in(addr, id, "print-order"), 202));
-    once.iter().for_each(|id| assert_eq!(hand_in(addr, id, "render-status"), 202));
-    let has = |b: &[Value], id: &str| b.iter().any(|item| item["id"] == id);
-    until("a batch of both", || {
+    until("the call that is refused with a wait", || !world.partner.singles.lock().unwrap().is_empty());
+    let (repeatable, unrepeatable) = (named("k", 2), named("u", 2));
+    repeatable.iter().for_each(|id| assert_eq!(hand_in(addr, id, "print-order"), 202));
+    unrepeatable.iter().for_each(|id| assert_eq!(hand_in(addr, id, "render-status"), 202));
+    let contains = |batch: &[Value], id: &str| batch.iter().any(|item| item["id"] == id);
+    until("a batch of both kinds", || {
         world.partner.gate.send(()).unwrap();
-        world.batches().first().is_some_and(|b| has(b, "k-0") && has(b, "u-0"))
+        world.batches().first().is_some_and(|batch| contains(batch, "k-0") && contains(batch, "u-0"))
     });
-    until("the keyed ones again", || {
+    until("the second calls of the repeatable messages", || {
         world.partner.gate.send(()).unwrap();
-        let single = world.partner.singles.lock().unwrap().clone();
-        keyed.iter().all(|id| world.copies()[id] > 1 || single.contains(id))
+        let singles = world.partner.singles.lock().unwrap().clone();
+        repeatable.iter().all(|id| world.copies()[id] > 1 || singles.contains(id))
     });
     assert_eq!(world.partner.doubled.load(Ordering::SeqCst), 0);
 }
--- a/tests/batches_hard.rs
+++ b/tests/batches_hard.rs
@@ -1,5 +1,5 @@
-//! Batches in hard cases, over sockets: one message is left out of the answer, a wait is told while neighbours are on their way, and
-//! the endpoint drains between order and first byte.
+//! Batches over sockets in special cases: the response omits one message, a wait is demanded while another batch is in flight,
+//! and the endpoint begins to drain between the order and the first byte.
 
 mod support;
 
@@ -12,31 +12,31 @@
 use support::partner::*;
 use support::*;
 
-/// Told to end, it hears out what is out; started again, it owes nothing.
-fn owes_nothing(world: &World, mut program: Program) {
+/// Ends the program by SIGTERM, which awaits the responses in flight, and checks that after a restart no message is pending.
+fn assert_nothing_is_pending(world: &World, mut program: Program) {
     program.signal("TERM");
     assert!(program.child.wait().unwrap().success());
     let ready = world.start().0.line("indigohold: ready");
     assert!(ready.contains(" 0 messages are owed"), "{ready}");
 }
 
-/// Nineteen are told and end by that; the twentieth may have run. With a key it goes once more, by itself; without, it is given
-/// up and goes nowhere.
+/// The response has the states of nineteen messages, which end them; the twentieth may have taken effect. If it is repeatable it
+/// is sent once more, by itself; otherwise it is given up and not sent again.
 #[test]
-fn an_answer_that_lists_nineteen_ends_nineteen() {
+fn a_response_with_nineteen_states_ends_nineteen_messages() {
     let world = world(partner(|_, items| {
-        let told = ids(items).into_iter().filter(|id| !id.ends_with("-7")).map(|id| (id, "done"));
-        Reply::Keeps(support::partner::told(&told.collect::<Vec<_>>(), ""))
+        let states = ids(items).into_iter().filter(|id| !id.ends_with("-7")).map(|id| (id, "done"));
+        Reply::Keeps(support::partner::told(&states.collect::<Vec<_>>(), ""))
     }));
     let (program, addr) = world.start();
-    let (keyed, once) = (named("k", 20), named("u", 20));
-    world.together(addr, "gate-k", "print-order", &keyed);
-    let again = || world.partner.singles.lock().unwrap().iter().any(|id| id == "k-7");
-    until("the twentieth goes again", again);
+    let (repeatable, unrepeatable) = (named("k", 20), named("u", 20));
+    world.together(addr, "gate-k", "print-order", &repeatable);
+    let called_again = || world.partner.singles.lock().unwrap().iter().any(|id| id == "k-7");
+    until("the second call of the twentieth", called_again);
     world.partner.gate.send(()).unwrap();
-    world.together(addr, "gate-u", "render-status", &once);
+    world.together(addr, "gate-u", "render-status", &unrepeatable);
     until("the twentieth is given up", || world.discovery.noticed("u-7").is_some());
-    owes_nothing(&world, program);
+    assert_nothing_is_pending(&world, program);
     let batches = world.batches();
     assert!(batches.iter().map(Vec::len).eq([20, 20]), "{batches:?}");
     let singles = world.partner.singles.lock().unwrap().clone();
@@ -46,27 +46,27 @@
     assert_eq!(notices[0]["outcome"], "given_up");
 }
 
-/// The wait is told to one batch while another is on its way: that one is heard out, and nothing else begins before the wait is
-/// over, neither what goes again nor what comes newly.
+/// The response to one batch demands a wait while another batch is in flight. The response to the other is awaited, and no other
+/// call begins before the wait has ended, whether for repeated messages or for new ones.
 #[test]
-fn a_wait_that_one_batch_is_told_holds_all_but_what_is_on_its_way() {
+fn a_wait_demanded_by_one_batch_delays_all_calls_but_those_in_flight() {
     const WAIT: Duration = Duration::from_millis(600);
-    let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
-    let (at, told) = (came.clone(), Arc::<Mutex<Option<Instant>>>::default());
-    let said = told.clone();
+    let arrivals: Arc<Mutex<Vec<Instant>>> = Arc::default();
+    let (shared_arrivals, wait_sent) = (arrivals.clone(), Arc::<Mutex<Option<Instant>>>::default());
+    let shared_wait_sent = wait_sent.clone();
     let partner = partner(move |nth, items| {
-        at.lock().unwrap().push(Instant::now());
+        shared_arrivals.lock().unwrap().push(Instant::now());
         match nth {
             0 => {
-                until("its neighbour is on its way", || at.lock().unwrap().len() == 2);
-                *said.lock().unwrap() = Some(Instant::now());
+                until("the other batch is in flight", || shared_arrivals.lock().unwrap().len() == 2);
+                *shared_wait_sent.lock().unwrap() = Some(Instant::now());
                 Reply::Keeps(
                     "HTTP/1.1 429 Later\r\nX-RateLimit-Wait-Ms: 600\r\nContent-Length: 0\r\n\r\n".into(),
                 )
             }
             1 => {
-                until("the wait is told", || {
-                    said.lock().unwrap().is_some_and(|told| told.elapsed() > WAIT / 2)
+                until("the wait is sent", || {
+                    shared_wait_sent.lock().unwrap().is_some_and(|sent| sent.elapsed() > WAIT / 2)
                 });
                 Reply::Keeps(all_done(items))
             }
@@ -74,50 +74,51 @@
         }
     });
     let mut world = world(partner);
-    // One destination may hold as many as it leaves free: two.
+    // A destination may occupy no more slots than it leaves free: two.
     world.config["settings"]["familyInfo"]["slots"] = 4.into();
     world.config["settings"]["familyInfo"]["bundleMax"] = json!([1, 5]);
     let (program, addr) = world.start();
     for (n, gate) in ["gate-1", "gate-2"].into_iter().enumerate() {
         assert_eq!(hand_in(addr, gate, "render-status"), 202);
-        until("it holds a slot", || world.partner.singles.lock().unwrap().len() == n + 1);
+        until("the gate call holds a slot", || world.partner.singles.lock().unwrap().len() == n + 1);
     }
     let all = named("m", 10);
     all.iter().for_each(|id| assert_eq!(hand_in(addr, id, "render-status"), 202, "{id}"));
     (0..2).for_each(|_| world.partner.gate.send(()).unwrap());
-    until("the wait", || told.lock().unwrap().is_some());
+    until("the wait", || wait_sent.lock().unwrap().is_some());
     let new = named("n", 5);
     new.iter().for_each(|id| assert_eq!(hand_in(addr, id, "render-status"), 202, "{id}"));
-    let last = |batches: &[Vec<Value>]| batches.iter().skip(1).flat_map(|b| ids(b)).collect::<BTreeSet<_>>();
-    until("all", || {
+    let after_first =
+        |batches: &[Vec<Value>]| batches.iter().skip(1).flat_map(|batch| ids(batch)).collect::<BTreeSet<_>>();
+    until("calls of all messages", || {
         world.partner.gate.send(()).unwrap();
-        let mut seen = last(&world.batches());
+        let mut seen = after_first(&world.batches());
         seen.extend(world.partner.singles.lock().unwrap().iter().cloned());
         all.iter().chain(&new).all(|id| seen.contains(id))
     });
-    owes_nothing(&world, program);
-    let (batches, told) = (world.batches(), told.lock().unwrap().unwrap());
+    assert_nothing_is_pending(&world, program);
+    let (batches, wait_sent) = (world.batches(), wait_sent.lock().unwrap().unwrap());
     assert!(batches[..2].iter().all(|b| b.len() == 5), "{batches:?}");
-    assert!(came.lock().unwrap()[2..].iter().all(|at| *at - told >= WAIT));
-    let of = |n: usize| ids(&batches[n]);
-    assert!(of(1).iter().all(|id| world.copies()[id] == 1), "the neighbour was heard out");
-    assert!(of(0).iter().all(|id| world.copies()[id] <= 2));
+    assert!(arrivals.lock().unwrap()[2..].iter().all(|at| *at - wait_sent >= WAIT));
+    let ids_of = |n: usize| ids(&batches[n]);
+    assert!(ids_of(1).iter().all(|id| world.copies()[id] == 1), "the response to the other batch counts");
+    assert!(ids_of(0).iter().all(|id| world.copies()[id] <= 2));
     assert!(world.discovery.notices.lock().unwrap().is_empty());
 }
 
-/// Whether someone's connection to this address has not come up yet.
-fn comes_up(addr: SocketAddr) -> bool {
-    let place = format!(":{:04X} 02", addr.port());
-    std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(|line| line.contains(&place))
+/// Whether a connection to this address is being established (state SYN-SENT).
+fn is_connecting(addr: SocketAddr) -> bool {
+    let remote = format!(":{:04X} 02", addr.port());
+    std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(|line| line.contains(&remote))
 }
 
-/// The batch is ordered and its connection is not up yet: then its endpoint drains. Not one byte goes there; all of it goes to the
-/// other endpoint, and once.
+/// An endpoint begins to drain when a batch for it is ordered and the connection is not established yet. Not one byte of the
+/// batch is sent there; all messages are sent to the other endpoint, once each.
 #[test]
-fn an_endpoint_that_drains_before_a_batch_s_first_byte_gets_none_of_it() {
+fn an_endpoint_that_drains_before_the_first_byte_of_a_batch_receives_none_of_it() {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
-    // One connection that waits is all that it takes; who comes then is not answered.
+    // The listen queue holds one connection; further ones are not answered.
     socket.listen(0).unwrap();
     let listener: TcpListener = socket.into();
     let first = listener.local_addr().unwrap();
@@ -127,7 +128,7 @@
     world.discovery = discovery(std::slice::from_ref(&up));
     world.config["discovery"] = world.discovery.addr.to_string().into();
     world.config["known"]["instances"] = json!([serde_json::from_str::<Value>(&up).unwrap()]);
-    // A destination may hold as many as it leaves free: one.
+    // A destination may occupy no more slots than it leaves free: one.
     world.config["settings"]["familyInfo"]["slots"] = 2.into();
     world.config["settings"]["limits"]["connectTimeout"] = 10_000_000.into();
     let (program, addr) = world.start();
@@ -137,20 +138,22 @@
     read_http(&mut gate).unwrap();
     let all = named("m", 5);
     all.iter().for_each(|id| assert_eq!(hand_in(addr, id, "render-status"), 202, "{id}"));
-    let waits = TcpStream::connect(first).unwrap();
+    let queued = TcpStream::connect(first).unwrap();
     gate.get_mut().write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n").unwrap();
     drop(gate);
-    until("the batch's connection", || comes_up(first));
+    until("the batch's connection attempt", || is_connecting(first));
     let list = [("s-1", first, 3, "draining"), ("s-2", other, 3, "up"), ("s-3", other, 4, "up")];
     let list = list.map(|(name, at, dest, state)| instance(name, at, dest, state)).join(",");
     *world.discovery.list.lock().unwrap() = (8, list);
-    // Elsewhere, where only this list knows the way: so the list is known.
+    // Only this list has destination 4, so a message accepted for it shows that the list has been read.
     until("the new list", || hand_in_at(addr, "new", "render-status", 4) == 202);
-    until("the other has it", || world.partner.singles.lock().unwrap().contains(&"new".to_owned()));
+    until("the other endpoint has that message", || {
+        world.partner.singles.lock().unwrap().contains(&"new".to_owned())
+    });
     world.partner.gate.send(()).unwrap();
-    let mut came = vec![listener.accept().unwrap().0];
-    drop(waits);
-    until("it has come up, or is given up", || !comes_up(first));
+    let mut accepted = vec![listener.accept().unwrap().0];
+    drop(queued);
+    until("the connection is established or given up", || !is_connecting(first));
     let seen = || {
         let mut seen: Vec<String> = world.batches().iter().flat_map(|b| ids(b)).collect();
         seen.extend(world.partner.singles.lock().unwrap().iter().cloned());
@@ -158,18 +161,19 @@
         seen.sort();
         seen
     };
-    until("all at the other", || {
+    until("all messages at the other endpoint", || {
         world.partner.gate.send(()).unwrap();
         seen().len() >= all.len()
     });
-    owes_nothing(&world, program);
+    assert_nothing_is_pending(&world, program);
     assert_eq!(seen(), all);
     listener.set_nonblocking(true).unwrap();
-    came.extend(std::iter::from_fn(|| listener.accept().ok().map(|(stream, _)| stream)));
-    for mut stream in came {
+    accepted.extend(std::iter::from_fn(|| listener.accept().ok().map(|(stream, _)| stream)));
+    for mut stream in accepted {
         stream.set_nonblocking(true).unwrap();
-        let got = stream.read(&mut [0; 100]);
-        let none = matches!(&got, Ok(0)) || got.as_ref().is_err_and(|e| e.kind() != ErrorKind::Interrupted);
-        assert!(none, "it got {got:?}");
+        let received = stream.read(&mut [0; 100]);
+        let nothing = matches!(&received, Ok(0))
+            || received.as_ref().is_err_and(|e| e.kind() != ErrorKind::Interrupted);
+        assert!(nothing, "the draining endpoint received {received:?}");
     }
 }
