--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! The program and its discovery, over loopback sockets: a scripted discovery that is absent, refuses, hangs, lies,
-//! moves and comes back, and what the program does meanwhile.
+//! The program and its discovery over loopback sockets: what the program does while a scripted discovery is down, refuses
+//! requests, hangs, sends wrong lists, changes its address or returns.
 
 mod support;
 
@@ -20,14 +20,14 @@
     })
 }
 
-const NOTHING: &str = r#"{"generation":0,"reset":true,"instances":[]}"#;
+const EMPTY_LIST: &str = r#"{"generation":0,"reset":true,"instances":[]}"#;
 const GUARD: &str = r#"{"guard": {"confirm_ms": 300, "hold_s": 60}}"#;
 
-fn hand_in(addr: SocketAddr, id: &str, dest: u16) -> Http {
-    hand_in_for(addr, id, dest, 20_000)
+fn submit(addr: SocketAddr, id: &str, dest: u16) -> Http {
+    submit_with_deadline(addr, id, dest, 20_000)
 }
 
-fn hand_in_for(addr: SocketAddr, id: &str, dest: u16, deadline_ms: u64) -> Http {
+fn submit_with_deadline(addr: SocketAddr, id: &str, dest: u16, deadline_ms: u64) -> Http {
     ask(
         addr,
         format!(
@@ -39,115 +39,116 @@
     )
 }
 
-/// Hands a message in and waits until an endpoint has it.
-fn deliver(addr: SocketAddr, id: &str, dest: u16, at: &Endpoint) {
-    assert_eq!(hand_in(addr, id, dest).status(), 202, "{id}");
-    until(id, || at.count(id) == 1);
+/// Submits a message and waits until an endpoint has received it.
+fn deliver(addr: SocketAddr, id: &str, dest: u16, endpoint: &Endpoint) {
+    assert_eq!(submit(addr, id, dest).status(), 202, "{id}");
+    until(id, || endpoint.count(id) == 1);
 }
 
-fn kept(folder: &Path) -> Option<String> {
+fn stored_copy(folder: &Path) -> Option<String> {
     std::fs::read_to_string(folder.join("state/register.copy")).ok()
 }
 
-fn serving() -> Endpoint {
+fn working_endpoint() -> Endpoint {
     endpoint(|_, _| Act::Answer(OK))
 }
 
-/// The operators' first wish, and its measured need: a second life with discovery down took on none of 20.
+/// Guards against a restart without service: a process that started while discovery was down accepted none of 20 messages.
 #[test]
-fn a_second_life_serves_from_the_kept_copy() {
-    let (endpoint, folder) = (serving(), Folder::new());
+fn after_a_restart_the_program_serves_from_the_stored_copy() {
+    let (endpoint, folder) = (working_endpoint(), Folder::new());
     let scripted = Scripted::serving(list(5, &[up("s-1", endpoint.addr, 3)]));
-    let mut first = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut first = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     deliver_when_known(first.addr("platform"), "before", 3, &endpoint);
-    until("a kept copy", || kept(&folder.0).is_some_and(|text| text.contains("s-1")));
+    until("a stored copy", || stored_copy(&folder.0).is_some_and(|text| text.contains("s-1")));
     first.kill();
     scripted.stop();
-    let mut second = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut second = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = second.addr("platform");
     for n in 0..20 {
         deliver(addr, &format!("m{n}"), 3, &endpoint);
     }
     second.line_with("register=from copy");
-    // It comes back to the truth: asked for what changed since the copy, and the phase follows.
+    // When discovery returns, it is asked for the changes since the copy, and the phase becomes live.
     scripted.start();
     second.line_with("the register is live, it was from copy");
     assert!(scripted.asks().last().unwrap().line.contains("after=5"), "{:?}", scripted.asks());
 }
 
-/// Clients come once the list is known; until then they are refused with a wait.
-fn deliver_when_known(addr: SocketAddr, id: &str, dest: u16, at: &Endpoint) {
-    until("a known destination", || hand_in(addr, id, dest).status() == 202);
-    until(id, || at.count(id) == 1);
+/// Submits a message until it is accepted, because messages are refused with a wait until the list is known, and waits until
+/// the endpoint has received it.
+fn deliver_when_known(addr: SocketAddr, id: &str, dest: u16, endpoint: &Endpoint) {
+    until("a known destination", || submit(addr, id, dest).status() == 202);
+    until(id, || endpoint.count(id) == 1);
 }
 
-/// Danger, in a test: a time of the program's that must not be over yet is over on a loaded machine. So what is to come first is
-/// given an hour, and what is to come by itself has a program of its own.
+/// On a loaded machine a timeout of the program may expire before the test has checked the state that precedes it. So the
+/// timeout is an hour here, and its expiry is tested with a program of its own.
 #[test]
-fn with_nothing_at_all_it_refuses_at_once_and_says_when() {
-    let (endpoint, folder) = (serving(), Folder::new());
+fn without_any_list_it_refuses_at_once_and_names_a_wait() {
+    let (endpoint, folder) = (working_endpoint(), Folder::new());
     folder.write("register.json", r#"{"cold_ready_s": 3600, "hold_ms": 60000}"#);
     let scripted = Scripted::down(list(1, &[up("s-1", endpoint.addr, 3)]));
-    let mut program = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut program = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     let begun = Instant::now();
-    let refused = hand_in(addr, "early", 3);
+    let refused = submit(addr, "early", 3);
     assert_eq!((refused.status(), refused.header("retry-after")), (503, Some("1.000")));
-    assert!(begun.elapsed() < LONG, "it does not wait for the minute in which discovery may speak");
-    assert_eq!(ready(addr), 503, "cold, and not yet said to be ready");
+    assert!(begun.elapsed() < LONG, "it does not wait for the minute in which discovery may answer");
+    assert_eq!(ready(addr), 503, "cold, and not ready yet");
     scripted.start();
     deliver_when_known(addr, "late", 3, &endpoint);
-    assert_eq!(ready(addr), 200, "cold no more");
-    assert_eq!(hand_in(addr, "nobody", 9).status(), 404, "discovery has said which there are");
+    assert_eq!(ready(addr), 200, "no longer cold");
+    assert_eq!(submit(addr, "nobody", 9).status(), 404, "discovery has listed the destinations");
 }
 
 #[test]
-fn with_nothing_at_all_it_is_ready_by_the_stated_rule() {
+fn without_any_list_it_is_ready_after_the_configured_time() {
     let folder = Folder::new();
     folder.write("register.json", r#"{"cold_ready_s": 1}"#);
     let scripted = Scripted::down(String::new());
-    let before = Instant::now();
-    let mut program = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let started = Instant::now();
+    let mut program = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     until("ready", || ready(addr) == 200);
-    assert!(before.elapsed() >= Duration::from_secs(1), "{:?}", before.elapsed());
+    assert!(started.elapsed() >= Duration::from_secs(1), "{:?}", started.elapsed());
 }
 
 fn ready(addr: SocketAddr) -> u16 {
     ask(addr, b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n").status()
 }
 
-/// A copy that names only dead addresses, one of which now belongs to another backend of another destination.
+/// All addresses of the copy are outdated, and one now belongs to another backend of another destination.
 #[test]
-fn a_copy_of_dead_addresses_takes_nothing_for_out() {
-    let (old, new, other) = (serving(), serving(), serving());
+fn a_copy_with_outdated_addresses_ejects_no_backend() {
+    let (old, new, other) = (working_endpoint(), working_endpoint(), working_endpoint());
     let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let folder = Folder::new();
     let scripted = Scripted::serving(list(5, &[up("s-1", dead, 3), up("s-2", other.addr, 4)]));
-    let first = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
-    until("a kept copy", || kept(&folder.0).is_some_and(|text| text.contains("s-2")));
+    let first = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
+    until("a stored copy", || stored_copy(&folder.0).is_some_and(|text| text.contains("s-2")));
     first.kill();
     scripted.stop();
-    let mut second = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut second = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = second.addr("platform");
-    assert_eq!(hand_in(addr, "m1", 3).status(), 202);
+    assert_eq!(submit(addr, "m1", 3).status(), 202);
     second.line_with("from copy");
-    // Now the machine of s-2 is s-9's, of destination 5, and destination 3 has a new backend.
+    // The address of s-2 now belongs to s-9 of destination 5, and destination 3 has a new backend.
     scripted.set(list(8, &[up("s-9", other.addr, 5), up("s-3", new.addr, 3)]));
     scripted.start();
     until("the held message", || new.count("m1") == 1);
     deliver(addr, "m5", 5, &other);
-    assert_eq!(hand_in(addr, "m4", 4).status(), 202, "it was a destination once");
+    assert_eq!(submit(addr, "m4", 4).status(), 202, "it was a destination before");
     deliver(addr, "m6", 5, &other);
     assert_eq!((other.count("m4"), old.calls.lock().unwrap().len()), (0, 0));
 }
 
-/// Whatever is wrong with discovery, what it named keeps serving; and it comes back by itself.
+/// Whatever fails in discovery, the listed backends stay in use; and the program recovers by itself.
 #[test]
-fn a_discovery_that_fails_in_every_way_ends_nothing() {
-    let (endpoint, folder) = (serving(), Folder::new());
+fn no_failure_of_discovery_ends_service() {
+    let (endpoint, folder) = (working_endpoint(), Folder::new());
     let scripted = Scripted::serving(list(5, &[up("s-1", endpoint.addr, 3)]));
-    let mut program = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut program = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     deliver_when_known(addr, "first", 3, &endpoint);
     let modes =
@@ -156,7 +157,7 @@
         let asked = scripted.asks().len();
         scripted.mode(mode.clone());
         if mode != Mode::Hang {
-            until("it is asked", || scripted.asks().len() > asked + 1);
+            until("the next requests", || scripted.asks().len() > asked + 1);
         }
         deliver(addr, &format!("m{n}"), 3, &endpoint);
     }
@@ -165,14 +166,14 @@
     deliver_when_known(addr, "last", 4, &endpoint);
 }
 
-/// Without a watch, the whole list is read again and again.
+/// Where discovery offers no watch, the full list is read periodically.
 #[test]
-fn a_list_without_a_watch_is_read_again() {
-    let (endpoint, folder) = (serving(), Folder::new());
+fn a_list_without_a_watch_is_polled() {
+    let (endpoint, folder) = (working_endpoint(), Folder::new());
     folder.write("register.json", r#"{"poll_ms": 100}"#);
     let scripted = Scripted::serving(list(1, &[up("s-1", endpoint.addr, 3)]));
     scripted.mode(Mode::NoWatch);
-    let mut program = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut program = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     deliver_when_known(addr, "m1", 3, &endpoint);
     scripted.set(list(2, &[up("s-2", endpoint.addr, 4)]));
@@ -182,39 +183,39 @@
 }
 
 #[test]
-fn entries_that_can_not_be_read_spoil_themselves_alone() {
-    let (endpoint, folder) = (serving(), Folder::new());
-    let good = up("s-1", endpoint.addr, 3);
-    let bad = [
+fn malformed_entries_do_not_affect_the_others() {
+    let (endpoint, folder) = (working_endpoint(), Folder::new());
+    let valid = up("s-1", endpoint.addr, 3);
+    let malformed = [
         r#"{"instanceId":"s-2","hostPort":"nowhere","cell":4,"lifecycle":"up"}"#.to_owned(),
         r#"{"instanceId":"s-3","hostPort":"127.0.0.1:9","cell":"three","lifecycle":"up"}"#.to_owned(),
         r#"{"instanceId":17}"#.to_owned(),
         "null".to_owned(),
     ];
-    let entries: Vec<String> = bad.into_iter().chain([good]).collect();
+    let entries: Vec<String> = malformed.into_iter().chain([valid]).collect();
     let scripted = Scripted::serving(list(1, &entries));
-    let mut program = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut program = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     deliver_when_known(addr, "m1", 3, &endpoint);
     program.line_with("entries of the list can't be read");
-    // A line that is none ends the watch; the next one tells all again.
+    // A malformed line ends the watch; the next watch sends the full list.
     scripted.push("{\"generation\":2,\"reset\":tr".to_owned());
     program.line_with("the watch on the list");
     deliver(addr, "m2", 3, &endpoint);
 }
 
-/// With the guard: an older list and an empty one end nothing that answers, until it is confirmed; an explicit removal
-/// binds at once.
+/// With the guard, an older or empty list removes no backend that answers until the list is confirmed; an explicit removal
+/// takes effect at once.
 #[test]
-fn the_guard_keeps_what_answers_until_it_is_confirmed() {
-    let (one, two, folder) = (serving(), serving(), Folder::new());
+fn the_guard_keeps_answering_backends_until_a_list_is_confirmed() {
+    let (one, two, folder) = (working_endpoint(), working_endpoint(), Folder::new());
     folder.write("register.json", GUARD);
     let entries: Vec<String> = (0..6).map(|n| up(&format!("s-{n}"), one.addr, n)).collect();
     let scripted = Scripted::serving(list(50, &entries));
-    let mut program = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut program = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     deliver_when_known(addr, "m1", 3, &one);
-    // It comes back with a list of last week, and then the truth.
+    // Discovery returns with an outdated list, and then with the current one.
     scripted.set(list(7, &[up("s-8", two.addr, 8)]));
     scripted.mode(Mode::Serve);
     program.line_with("would end 6 of 6 backends and is older than what was known");
@@ -222,55 +223,55 @@
     scripted.set(list(51, &entries));
     scripted.mode(Mode::Serve);
     program.line_with("the register is live, it was provisional");
-    // Explicitly removed: at once, and for good.
+    // An explicit removal takes effect at once and lasts.
     let rest: Vec<String> = entries.iter().filter(|e| !e.contains("s-3")).cloned().collect();
     scripted.change(changes(52, &[instance("s-3", one.addr, 3, "removed")]), list(52, &rest));
     until("its removal", || {
-        kept(&folder.0).is_some_and(|text| text.contains("s-4") && !text.contains("s-3"))
+        stored_copy(&folder.0).is_some_and(|text| text.contains("s-4") && !text.contains("s-3"))
     });
     deliver(addr, "m4", 4, &one);
-    assert_eq!(hand_in(addr, "m5", 3).status(), 202, "it may be listed again before its time is up");
-    // An empty one is read a second time by the courier itself, says the same, and is believed.
+    assert_eq!(submit(addr, "m5", 3).status(), 202, "it may be listed again before the deadline");
+    // An empty list is read a second time by the courier itself, is the same, and is applied.
     scripted.say(list(53, &[]));
     program.line_with("version 53 would end ");
     until("the second read", || {
         scripted.asks().iter().any(|a| a.line.starts_with("GET /registry/instances HTTP"))
     });
-    deliver_when_known(addr, "m6", 8, two_after(&scripted, &two));
-    assert_eq!(one.count("m5"), 0, "the removed one got nothing");
+    deliver_when_known(addr, "m6", 8, switch_to(&scripted, &two));
+    assert_eq!(one.count("m5"), 0, "the removed backend received nothing");
 }
 
-/// From now on there is one backend, at `two`.
-fn two_after<'a>(scripted: &Scripted, two: &'a Endpoint) -> &'a Endpoint {
-    scripted.say(list(54, &[up("s-8", two.addr, 8)]));
-    two
+/// Makes discovery list one backend only, at this endpoint.
+fn switch_to<'a>(scripted: &Scripted, endpoint: &'a Endpoint) -> &'a Endpoint {
+    scripted.say(list(54, &[up("s-8", endpoint.addr, 8)]));
+    endpoint
 }
 
-/// The rule: nothing new later than 250 ms after it was told, also to one that was known from a copy alone.
+/// No call may begin later than 250 ms after a backend's removal was notified, also if the backend is known only from a copy.
 #[test]
-fn a_removal_binds_what_only_a_copy_knows() {
-    let (endpoint, folder) = (serving(), Folder::new());
+fn a_removal_takes_effect_on_a_backend_known_only_from_a_copy() {
+    let (endpoint, folder) = (working_endpoint(), Folder::new());
     let scripted = Scripted::serving(list(5, &[up("s-1", endpoint.addr, 3)]));
-    let first = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
-    until("a kept copy", || kept(&folder.0).is_some_and(|text| text.contains("s-1")));
+    let first = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
+    until("a stored copy", || stored_copy(&folder.0).is_some_and(|text| text.contains("s-1")));
     first.kill();
     scripted.mode(Mode::Hang);
     folder.write("register.json", r#"{"hold_ms": 0}"#);
-    let mut second = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut second = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = second.addr("platform");
     deliver(addr, "m0", 3, &endpoint);
     let stop = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false));
-    let (stopped, clients) = (stop.clone(), std::thread::spawn);
-    let client = clients(move || {
+    let (stopped, spawn) = (stop.clone(), std::thread::spawn);
+    let client = spawn(move || {
         for n in 0.. {
             if stopped.load(std::sync::atomic::Ordering::SeqCst) {
                 return;
             }
-            hand_in(addr, &format!("c{n}"), 3);
+            submit(addr, &format!("c{n}"), 3);
         }
     });
     until("calls", || endpoint.calls.lock().unwrap().len() > 20);
-    // The first that discovery says in this life is that the backend is gone.
+    // The first message from discovery in this process run is the removal of the backend.
     scripted.set(changes(6, &[instance("s-1", endpoint.addr, 3, "removed")]));
     scripted.mode(Mode::Serve);
     until("the watch", || scripted.asks().iter().any(|a| a.line.contains("after=5")));
@@ -280,67 +281,67 @@
     std::thread::sleep(Duration::from_millis(300));
     stop.store(true, std::sync::atomic::Ordering::SeqCst);
     client.join().unwrap();
-    assert_eq!(endpoint.calls.lock().unwrap().len(), calls, "nothing began after it");
+    assert_eq!(endpoint.calls.lock().unwrap().len(), calls, "no call began after the removal");
 }
 
 #[test]
-fn another_address_has_its_turn_and_a_move_still_holds() {
-    let (endpoint, folder) = (serving(), Folder::new());
+fn other_addresses_are_tried_and_a_configured_change_still_applies() {
+    let (endpoint, folder) = (working_endpoint(), Folder::new());
     let one = Scripted::serving(list(1, &[up("s-1", endpoint.addr, 3)]));
     let two = Scripted::serving(list(1, &[up("s-1", endpoint.addr, 3)]));
     let three = Scripted::serving(list(2, &[up("s-1", endpoint.addr, 3), up("s-2", endpoint.addr, 4)]));
     folder.write("register.json", &format!(r#"{{"also": ["{}"]}}"#, two.addr));
-    let mut program = Program::start(&folder.0, &config(one.addr, NOTHING), None);
+    let mut program = Program::start(&folder.0, &config(one.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     deliver_when_known(addr, "m1", 3, &endpoint);
     assert_eq!(two.asks().len(), 0);
     one.stop();
-    until("the other's turn", || !two.asks().is_empty());
-    // Notices go there too.
-    let gone = Scripted::down(String::new());
-    two.say(list(2, &[up("s-1", endpoint.addr, 3), up("s-5", gone.addr, 5)]));
-    until("known", || hand_in_for(addr, "short", 5, 1500).status() == 202);
-    until("its end", || two.noticed("short").is_some());
-    std::fs::write(folder.0.join("config.json"), config(three.addr, NOTHING).to_string()).unwrap();
+    until("a request to the other address", || !two.asks().is_empty());
+    // Notices are sent there too.
+    let unreachable = Scripted::down(String::new());
+    two.say(list(2, &[up("s-1", endpoint.addr, 3), up("s-5", unreachable.addr, 5)]));
+    until("known", || submit_with_deadline(addr, "short", 5, 1500).status() == 202);
+    until("its notice", || two.noticed("short").is_some());
+    std::fs::write(folder.0.join("config.json"), config(three.addr, EMPTY_LIST).to_string()).unwrap();
     program.signal("HUP");
     deliver_when_known(addr, "m4", 4, &endpoint);
 }
 
 #[test]
-fn the_static_file_adds_and_takes_away() {
-    let (one, two, folder) = (serving(), serving(), Folder::new());
+fn the_static_file_adds_and_removes_backends() {
+    let (one, two, folder) = (working_endpoint(), working_endpoint(), Folder::new());
     folder.write("register.json", r#"{"static": "own.json"}"#);
     folder.write("own.json", &list(1, &[up("own-1", two.addr, 4)]));
     let scripted = Scripted::serving(list(1, &[up("s-1", one.addr, 3)]));
-    let mut program = Program::start(&folder.0, &config(scripted.addr, NOTHING), None);
+    let mut program = Program::start(&folder.0, &config(scripted.addr, EMPTY_LIST), None);
     let addr = program.addr("platform");
     deliver_when_known(addr, "m1", 3, &one);
     deliver(addr, "m2", 4, &two);
     folder.write("own.json", "{");
     program.line_with("what it said before stays");
     deliver(addr, "m3", 4, &two);
-    // The operators take one away that discovery lists.
+    // The operators drain a backend that discovery lists.
     folder.write("own.json", &list(2, &[up("own-1", two.addr, 4), instance("s-1", one.addr, 3, "draining")]));
     until("it drains", || {
         let id = format!("d{}", one.calls.lock().unwrap().len());
-        hand_in(addr, &id, 3);
+        submit(addr, &id, 3);
         std::thread::sleep(Duration::from_millis(300));
         one.count(&id) == 0
     });
     deliver(addr, "m4", 4, &two);
 }
 
-/// Couriers whose discovery returns must not all ask in the same instant.
+/// Couriers must not all send their requests in the same instant when discovery returns.
 #[test]
-fn forty_instances_ask_a_returning_discovery_spread_out() {
-    let endpoint = serving();
+fn requests_of_forty_couriers_to_a_returning_discovery_are_spread() {
+    let endpoint = working_endpoint();
     let scripted = Scripted::serving(list(1, &[up("s-1", endpoint.addr, 3)]));
     let folders: Vec<Folder> = (0..40).map(|_| Folder::new()).collect();
     let mut programs: Vec<Program> = folders
         .iter()
         .enumerate()
         .map(|(n, folder)| {
-            let mut config = config(scripted.addr, NOTHING);
+            let mut config = config(scripted.addr, EMPTY_LIST);
             config["seed"] = format!("{:x}", 1000 + n).into();
             config["limits"]["memory_mb"] = 32.into();
             Program::spawn(&folder.0, &config.to_string(), None)
@@ -348,14 +349,14 @@
         .collect();
     programs.iter_mut().for_each(|p| drop(p.line("indigohold: ready")));
     until("all watch", || scripted.asks().len() >= 40);
-    // Its machine goes, all watches break in the same instant, and it is back at once.
-    let before = scripted.asks().len();
-    let broke = Instant::now();
+    // Discovery's machine fails, all watches end in the same instant, and it is back at once.
+    let asked = scripted.asks().len();
+    let failed_at = Instant::now();
     scripted.mode(Mode::Serve);
-    until("all are back", || scripted.asks().len() >= before + 40);
+    until("all watch again", || scripted.asks().len() >= asked + 40);
     let times: Vec<u128> =
-        scripted.asks()[before..].iter().map(|a| a.at.duration_since(broke).as_millis()).collect();
-    // Each waits half of half a second at least and all of it at most: a quarter of a second to spread over.
+        scripted.asks()[asked..].iter().map(|a| a.at.duration_since(failed_at).as_millis()).collect();
+    // Each courier waits between a quarter and half of a second, so the requests are spread over a quarter of a second.
     assert!(times.iter().all(|ms| *ms >= 240), "{times:?}");
     let busiest =
         times.iter().map(|from| times.iter().filter(|t| **t >= *from && **t < from + 25).count()).max();
--- a/tests/discovery_clock.rs
+++ b/tests/discovery_clock.rs
@@ -43,7 +43,7 @@
     until(id, || ask(addr, call.as_bytes()).status() == 202);
 }
 
-/// Guards against a program that never asks where lists are pushed, and uses the configuration's list for ever.
+/// Guards against a program that never queries discovery where lists are pushed, and uses the configured list for ever.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_after_an_outage() {
     let (endpoint, folder) = (endpoint(|_, _| Act::Answer(OK)), Folder::new());
