--- /dev/null
+++ b/src/daemon/steps.rs
@@ -0,0 +1,95 @@
+//! Steps of the daemon's start and of its main loop.
+
+use super::{ReloadFn, SharedOwner};
+use crate::ask;
+use crate::checked::Fault;
+use crate::config::{Paths, PeerAddresses};
+use crate::core::Courier;
+use crate::net::peers::config::Sharing;
+use crate::net::peers::control::Shared;
+use crate::net::peers::riders::{self, Place};
+use crate::net::{mail, platform};
+use crate::register::kept_copy::KeptCopyWriter;
+use crate::settings::NetworkSettings;
+use crate::store::Journal;
+use std::path::Path;
+use std::sync::Arc;
+
+/// Reads an operators' file. The error names the file and lists all its faults.
+pub(super) fn read_file<T>(
+    path: &Path, read: impl FnOnce(&Path) -> Result<T, Vec<Fault>>,
+) -> Result<T, String> {
+    read(path).map_err(|faults| {
+        let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
+        format!("{}: {}", path.display(), faults.join("; "))
+    })
+}
+
+/// Names of the classes by their position, including those of the mail frontend.
+pub(crate) fn classes_of(names: &NetworkSettings, mail: Option<&mail::config::MailConfig>) -> Vec<String> {
+    let mut classes = names.classes.clone();
+    for (name, index) in mail.iter().flat_map(|m| &m.classes) {
+        classes.resize(classes.len().max(usize::from(*index) + 1), String::new());
+        classes[usize::from(*index)].clone_from(name);
+    }
+    classes
+}
+
+/// What the gossip thread needs to share state. `None` if operators have not turned sharing on, or the configuration does
+/// not say which member this courier is.
+pub(super) fn sharing_setup(
+    courier: &Arc<Courier>, at: &PeerAddresses, config: Option<Sharing>, incarnation: u64,
+    owner: &SharedOwner, seed: u64, ask_gossip: Option<ask::rider::Shared>,
+) -> Option<Shared> {
+    let Sharing { ground: config, matters } = config?;
+    let Some(me) = at.me else {
+        tracing::warn!(target: "peers", "nothing is shared: the configuration does not say which of `peers` this is");
+        return None;
+    };
+    // Members with the same random numbers would all wait for the same times.
+    let seed = seed ^ (u64::from(me.0) << 48) ^ incarnation.rotate_left(24);
+    let place = Place { me: me.0, n: at.member_count, incarnation, seed, matters };
+    let owner = owner.clone();
+    let claim = move |now, known| {
+        // If the lock is held or the claim is gone, the folder is being handed over or has been.
+        let mut owner = owner.try_lock().ok()?;
+        let raised = owner.as_mut()?.raise_incarnation(now, known);
+        raised.map_err(|e| tracing::error!(target: "peers", "no higher incarnation can be claimed: {e}")).ok()
+    };
+    Some(Shared { config, place, riders: riders::riders(courier, place, ask_gossip), claim: Box::new(claim) })
+}
+
+/// Logs every damaged part of the journal, because nobody can tell what became of the messages recorded there.
+pub(super) fn log_damages(journal: &Journal) {
+    let (damages, uncertain) = journal.damages();
+    for damage in damages {
+        let (segment, bytes, at) = (damage.segment, damage.bytes.len(), damage.bytes.start);
+        tracing::error!(target: "journal", segment, at, bytes, "damaged: {}", damage.description);
+    }
+    if !damages.is_empty() {
+        tracing::error!(
+            target: "journal", doubted = uncertain,
+            "messages that were accepted before the damage are treated as ones that may have run"
+        );
+    }
+}
+
+/// Writes the kept copy of the list if that is due. Only then is the list copied under the core's lock.
+pub(super) fn keep_list(courier: &Courier, writer: &mut KeptCopyWriter, disk_bytes: u64) {
+    let now = courier.clock.now();
+    let due = courier
+        .edition(platform::FRONT)
+        .is_some_and(|(number, confirmed)| writer.due(now, number, confirmed));
+    let Some((edition, journal_bytes)) = due.then(|| courier.list_to_store(platform::FRONT)).flatten() else {
+        return;
+    };
+    if let Some(warning) = writer.write(now, &edition, disk_bytes.saturating_sub(journal_bytes)) {
+        tracing::warn!(target: "register", "{warning}");
+    }
+}
+
+/// Applies the configuration again, on SIGHUP. The whole file is read before any of it is applied.
+pub(super) fn reload(paths: &Paths, reloads: &[ReloadFn]) -> Result<(), String> {
+    let config = paths.read()?;
+    reloads.iter().try_for_each(|reload| reload(&config))
+}
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -11,7 +11,7 @@
 
 use super::spawn;
 use crate::api::PeerId;
-use crate::config::Addresses;
+use crate::config::PeerAddresses;
 use crate::core::{Courier, Note};
 use crate::peers::To;
 use control::{Control, Shared};
@@ -134,7 +134,7 @@
 }
 
 /// Starts the thread. An address that another process still has is waited for; any other error is returned.
-pub fn start(courier: &Arc<Courier>, at: Addresses, shared: Option<Shared>) -> io::Result<Peers> {
+pub fn start(courier: &Arc<Courier>, at: PeerAddresses, shared: Option<Shared>) -> io::Result<Peers> {
     let poll = Poll::new()?;
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
     let (orders, waiting) = bounded(QUEUE);
@@ -179,7 +179,7 @@
 
 struct Work {
     courier: Arc<Courier>,
-    at: Addresses,
+    at: PeerAddresses,
     by_addr: HashMap<SocketAddr, usize>,
     /// By place in the configuration.
     rates: Vec<Rate>,
@@ -266,7 +266,7 @@
 
     /// Where something for all goes.
     fn all(&self) -> Vec<SocketAddr> {
-        match self.at.all {
+        match self.at.broadcast {
             Some(all) => vec![all],
             None => self.at.peers.iter().map(|(_, addr)| *addr).collect(),
         }
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -18,7 +18,7 @@
 use crate::admission::config::FrontAdmission;
 use crate::admission::Rules;
 use crate::api::Micros;
-use crate::config::Bounds;
+use crate::config::ProcessLimits;
 use crate::core::Courier;
 use crate::register::address_rotation::AddressRotation;
 use crate::register::list::KindAndZoneNames;
@@ -73,16 +73,17 @@
 
 /// Starts the threads of the frontend, except the listener's.
 pub fn start(
-    courier: &Arc<Courier>, bounds: Bounds, names: NetworkSettings, slots: usize,
+    courier: &Arc<Courier>, limits: ProcessLimits, names: NetworkSettings, slots: usize,
     discovery_addrs: AddressRotation, poll_interval: Micros, admission: &FrontAdmission,
 ) -> io::Result<(Arc<Platform>, Frontend)> {
     let keep = Duration::from_secs_f64(names.conn_idle.secs() * IDLE_KEEP_FRACTION);
-    let max_idle = bounds.sockets / 8;
+    let max_idle = limits.descriptors / 8;
     let conns = Arc::new(FetchConnections::new(keep, max_idle, b""));
     // Hundreds of clients may send one request and keep the connection open for their 2 s, so sessions get every descriptor
     // that nothing else needs.
-    let free = bounds.sockets.saturating_sub(max_idle + slots + OTHER_DESCRIPTORS).max(bounds.sockets / 3);
-    let max_sessions = free.min(bounds.memory / SESSIONS_MEMORY_DIVISOR / SESSION_BYTES);
+    let free =
+        limits.descriptors.saturating_sub(max_idle + slots + OTHER_DESCRIPTORS).max(limits.descriptors / 3);
+    let max_sessions = free.min(limits.memory_bytes / SESSIONS_MEMORY_DIVISOR / SESSION_BYTES);
     let (watch, watch_orders) = unbounded();
     let acceptor = AcceptorHandle::new();
     let platform = Arc::new(Platform {
@@ -96,7 +97,7 @@
         discovery: DiscoveryConnections::new(discovery_addrs, watch.clone(), acceptor.clone()),
         acceptor,
         admission_rules: admission.rules(max_sessions),
-        max_held_bytes: bounds.memory / HELD_MEMORY_DIVISOR,
+        max_held_bytes: limits.memory_bytes / HELD_MEMORY_DIVISOR,
     });
     let (fetches, fetch_orders) = unbounded();
     for _ in 0..slots {
--- a/tests/neighbours.rs
+++ b/tests/neighbours.rs
@@ -3,7 +3,7 @@
 mod common;
 mod support;
 
-use indigohold::config::Addresses;
+use indigohold::config::PeerAddresses;
 use indigohold::core::*;
 use indigohold::net::peers::{self, frame};
 use indigohold::store::Journal;
@@ -223,7 +223,8 @@
     let (own, peer) = (socket(), socket());
     let (listen, from) = (own.local_addr().unwrap(), peer.local_addr().unwrap());
     drop(own);
-    let at = Addresses { listen, peers: vec![(PeerId(1), from)], all: None, me: None, places: 2 };
+    let at =
+        PeerAddresses { listen, peers: vec![(PeerId(1), from)], broadcast: None, me: None, member_count: 2 };
     let (leaves, comes) = (courier(&folders.0), courier(&folders.1));
     let leaves = peers::start(&leaves, at.clone(), None).unwrap();
     let comes = peers::start(&comes, at, None).unwrap();
--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use crossbeam_channel::{bounded, Receiver, Sender};
-use indigohold::config::Addresses;
+use indigohold::config::PeerAddresses;
 use indigohold::core::*;
 use indigohold::net::peers::control::Shared;
 use indigohold::net::peers::riders::Place;
@@ -94,16 +94,16 @@
         tick_count: tick_count.clone(),
         publishes_constantly: publishes_constantly.clone(),
     };
-    let addresses = Addresses {
+    let addresses = PeerAddresses {
         listen: node_addresses[usize::from(index)],
         peers: (0..)
             .zip(node_addresses)
             .filter(|(i, _)| *i != index)
             .map(|(i, addr)| (PeerId(i), *addr))
             .collect(),
-        all: None,
+        broadcast: None,
         me: Some(PeerId(index)),
-        places: node_addresses.len(),
+        member_count: node_addresses.len(),
     };
     let shared = Shared {
         config: Config { beat: Micros(200_000), notes: 30.0, ..Config::new(cluster(["here"])) },
