--- a/src/store/appending.rs
+++ b/src/store/appending.rs
@@ -1,12 +1,12 @@
 //! Appends records, including while the folder can't be written (`ENOSPC`, `EIO`).
 //!
-//! When a call that writes an accept or an attempt start returns `Ok`, its record is on disk; after an error it is not, and it
-//! will not be written later. The other records (outcomes, final outcomes, ends) describe what has already happened: those
-//! that can't be written are kept in memory in their order, and nothing is appended before them. [`Journal::has_unwritten`]
-//! reports whether there are any.
+//! When a call that writes an accept or an attempt start returns `Ok`, its record is on disk; after an error it is
+//! not, and it will not be written later. The other records (outcomes, final outcomes, ends) describe what has
+//! already happened: those that can't be written are kept in memory in their order, and nothing is appended before
+//! them. [`Journal::has_unwritten`] reports whether there are any.
 //!
-//! A failed append may leave some of its bytes in the file. They are cut off before the next append. If that fails too, a new
-//! segment is begun, whose first record holds the valid length of the preceding one (see `recovery`).
+//! A failed append may leave some of its bytes in the file. They are cut off before the next append. If that fails
+//! too, a new segment is begun, whose first record holds the valid length of the preceding one (see `recovery`).
 
 use super::records::put_record;
 use super::salvage::RECORD_HEADER_BYTES;
--- a/src/store/checksummed_file.rs
+++ b/src/store/checksummed_file.rs
@@ -1,6 +1,7 @@
-//! Small files that are replaced as a whole: a header line, `<magic> <version> <crc32> <bytes>`, and a body. The new file is
-//! written beside the current one and renamed over it, and the previous one is kept as `.old`; so a kill at any moment leaves
-//! at least one of the two complete. Incomplete and damaged files and those of another format are reported and skipped.
+//! Small files that are replaced as a whole: a header line, `<magic> <version> <crc32> <bytes>`, and a body. The new
+//! file is written beside the current one; then the current one is renamed to `.old` and the new one takes its name. So
+//! a kill at any moment leaves at least one of the two complete. Incomplete and damaged files and those of another
+//! format are reported and skipped.
 
 use std::fs;
 use std::io;
@@ -58,8 +59,8 @@
         dir.join(format!("{}{suffix}", self.name))
     }
 
-    /// Reads the current file, or the previous one if that fails, and parses the body with `parse`. Also returns a line for
-    /// the log for each file that is skipped.
+    /// Reads the current file, or the previous one if that fails, and parses the body with `parse`. Also returns a
+    /// line for the log for each file that is skipped.
     pub fn read<T>(
         &self, dir: &Path, parse: impl Fn(&[u8]) -> Result<T, String>,
     ) -> (Option<T>, Vec<String>) {
--- a/src/store/history_backlog.rs
+++ b/src/store/history_backlog.rs
@@ -1,6 +1,6 @@
-//! Ended messages that the history has not stored yet. Their last record holds when and how they ended, so the journal alone
-//! is enough to restore them: if the process is killed before the history has stored them, the next process finds them here.
-//! Their segments stay until then.
+//! Ended messages that the history has not stored yet. Their last record holds when and how they ended, so the
+//! journal alone is enough to restore them: if the process is killed before the history has stored them, the next
+//! process finds them here. Their segments stay until then.
 
 use super::records::encode_history_end;
 use super::{Journal, MessageState};
@@ -104,9 +104,10 @@
 }
 
 impl Journal {
-    /// As [`Journal::end`], for a message that the history is to store: [`Journal::take_ended`] returns it, and it stays here
-    /// until [`Journal::release_up_to`] reports that it is stored. `reply` is the last reply of the call that ended it. Returns
-    /// `false` if the backlog is full; the message has then ended without being passed to the history.
+    /// As [`Journal::end`], for a message that the history is to store: [`Journal::take_ended`] returns it, and it
+    /// stays here until [`Journal::release_up_to`] reports that it is stored. `reply` is the last reply of the call
+    /// that ended it. Returns `false` if the backlog is full; the message has then ended without being passed to the
+    /// history.
     pub fn end_for_history(&mut self, msg: u64, now: Micros, how: EndKind, reply: Option<&str>) -> bool {
         let Some(state) = self.pending.get(&msg) else { return true };
         if self.backlog.bytes + size_of_message(state) > self.backlog.max_bytes {
@@ -125,8 +126,8 @@
         true
     }
 
-    /// The messages that have ended since the last call, in their order. The first call after opening returns those that the
-    /// folder held, of which the history may have stored some already. A batch must be written first.
+    /// The messages that have ended since the last call, in their order. The first call after opening returns those
+    /// that the folder held, of which the history may have stored some already. A batch must be written first.
     pub fn take_ended(&mut self) -> Vec<EndedMessage> {
         std::mem::take(&mut self.backlog.untaken)
     }
@@ -159,8 +160,8 @@
         self.remove_dead_segments();
     }
 
-    /// Removes the oldest segment although the history has not stored some messages in it; not if a pending message is live
-    /// there. Those messages are lost only if the process is killed before the history has stored them.
+    /// Removes the oldest segment although the history has not stored some messages in it; not if a pending message
+    /// is live there. Those messages are lost only if the process is killed before the history has stored them.
     pub(super) fn drop_oldest_ended(&mut self) -> bool {
         let before = self.segments.len();
         let Some(oldest) = self.segments.first_mut() else { return false };
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,12 +1,12 @@
-//! The journal: a write-ahead log of the messages that the courier has accepted, so that they survive its process. Every
-//! record is appended with one write before the step that it covers (the 202 reply, the first byte of a fetch). Data that
-//! was written survives a kill of the process, so nothing is synced to disk. If the machine is lost, so is the folder; the
-//! platform takes that into account.
+//! The journal: a write-ahead log of the messages that the courier has accepted, so that they survive its process.
+//! Every record is appended with one write before the step that it covers (the 202 reply, the first byte of a fetch).
+//! Data that was written survives a kill of the process, so nothing is synced to disk. If the machine is lost, so is
+//! the folder; the platform takes that into account.
 //!
 //! The folder holds small segments, `00000001.log` and up. A record is `length u32, crc32 u32, body`; a body is
 //! `kind u8, message u64` and the fields of that kind, little-endian. Segments without live messages are removed, the
-//! oldest first. If a segment stays too long, its live messages are written again at the tail. A later accept record of a
-//! message replaces all its earlier records, so a kill between the copy and the removal does no harm.
+//! oldest first. If a segment stays too long, its live messages are written again at the tail. A later accept record
+//! of a message replaces all its earlier records, so a kill between the copy and the removal does no harm.
 
 mod appending;
 pub mod checksummed_file;
@@ -162,11 +162,11 @@
         Journal::read(Box::new(DirStorage::new(dir)?), budget, now, incarnation, start_mode)
     }
 
-    /// Reads the pending messages from `storage`. An incomplete last record was being written when the process died, so the
-    /// step that it covers had not been acknowledged. Any other difference from what was written is a [`Damage`]: the records
-    /// after it are still read and the damaged bytes are saved. Each message that was accepted before the damage, and so may
-    /// have had a record there, counts as one that may have run at an unknown time and backend: it is sent again only if a
-    /// repeat does no harm.
+    /// Reads the pending messages from `storage`. An incomplete last record was being written when the process died,
+    /// so the step that it covers had not been acknowledged. Any other difference from what was written is a
+    /// [`Damage`]: the records after it are still read and the damaged bytes are saved. Each message that was
+    /// accepted before the damage, and so may have had a record there, counts as one that may have run at an unknown
+    /// time and backend: it is sent again only if a repeat does no harm.
     pub fn open_storage(storage: Box<dyn Storage>, budget: u64, now: Micros) -> io::Result<Journal> {
         Journal::read(storage, budget, now, 0, StartMode::Restart)
     }
@@ -210,7 +210,8 @@
             damaged_copies_bytes,
             backlog: Backlog::new(budget, ended),
         };
-        // The pending messages are served even if the folder can't be written now; a later repair writes what is missing.
+        // The pending messages are served even if the folder can't be written now; a later repair writes what is
+        // missing.
         let _ = journal.repair();
         journal.remove_dead_segments();
         Ok(journal)
@@ -292,7 +293,8 @@
         self.start_attempts(now, &[(msg, endpoint)])
     }
 
-    /// As [`Journal::start_attempt`], for attempts that share a call. They are recorded by one write: all may start, or none.
+    /// As [`Journal::start_attempt`], for attempts that share a call. They are recorded by one write: all may start,
+    /// or none.
     pub fn start_attempts(&mut self, now: Micros, attempts: &[(u64, &str)]) -> io::Result<()> {
         let pending = attempts.iter().filter(|(msg, _)| self.pending.contains_key(msg));
         let bodies: Vec<Vec<u8>> =
@@ -308,8 +310,8 @@
         Ok(())
     }
 
-    /// Records that a fetch is finished. `may_have_run` is false only if its outcome proves that it had no effect; `reply` is
-    /// the text of the backend's reply.
+    /// Records that a fetch is finished. `may_have_run` is false only if its outcome proves that it had no effect;
+    /// `reply` is the text of the backend's reply.
     pub fn record_outcome(&mut self, msg: u64, may_have_run: bool, reply: &str) {
         let mut body = record_body(OUTCOME, msg);
         body.push(u8::from(may_have_run));
@@ -324,8 +326,8 @@
         self.change(msg, &body);
     }
 
-    /// Ends a message. If it may have taken effect, its id is recognised until its `keep_id_until`, because a client that
-    /// did not receive the answer submits the same message again long after it was delivered.
+    /// Ends a message. If it may have taken effect, its id is recognised until its `keep_id_until`, because a client
+    /// that did not receive the answer submits the same message again long after it was delivered.
     pub fn end(&mut self, msg: u64, now: Micros) {
         self.remember_id(msg, now);
         self.change(msg, &record_body(END, msg));
--- a/src/store/owner.rs
+++ b/src/store/owner.rs
@@ -1,6 +1,6 @@
-//! Ownership of a state folder: one process at a time. The claim is a lock on a file, which the system releases when the
-//! process ends for any reason, so there is nothing to clean up after SIGKILL. Each claim has an incarnation number, one more
-//! than the last, which the journal records at the start of each segment.
+//! Ownership of a state folder: one process at a time. The claim is a lock on a file, which the system releases when
+//! the process ends for any reason, so there is nothing to clean up after SIGKILL. Each claim has an incarnation
+//! number, one more than the last, which the journal records at the start of each segment.
 
 use crate::api::Micros;
 use std::fmt;
@@ -66,8 +66,8 @@
 }
 
 impl Owner {
-    /// Raises this owner's incarnation above `known`, because the folder turned out to be an older copy: a higher incarnation
-    /// has been in use. An error leaves the claim unchanged.
+    /// Raises this owner's incarnation above `known`, because the folder turned out to be an older copy: a higher
+    /// incarnation has been in use. An error leaves the claim unchanged.
     pub fn raise_incarnation(&mut self, now: Micros, known: u64) -> io::Result<u64> {
         let incarnation = self.claim.incarnation.max(known).saturating_add(1);
         let claim = Claim { incarnation, since: now, ..self.claim };
@@ -113,8 +113,8 @@
     }
 }
 
-/// Claims a folder, which is created if it does not exist. `known` is the highest incarnation that the caller knows of from
-/// other sources; if the file is damaged, the numbers continue from there.
+/// Claims a folder, which is created if it does not exist. `known` is the highest incarnation that the caller knows
+/// of from other sources; if the file is damaged, the numbers continue from there.
 pub fn claim(dir: &Path, now: Micros, known: u64) -> Result<Owner, ClaimError> {
     std::fs::create_dir_all(dir).map_err(ClaimError::Io)?;
     let path = dir.join(OWNER_FILE);
@@ -133,8 +133,8 @@
     let previous = read_claim(&mut file).map_err(ClaimError::Io)?.map_or(0, |c| c.incarnation);
     let incarnation = previous.max(known) + 1;
     let claim = Claim { incarnation, process_id: std::process::id(), since: now };
-    // A folder that can't be written now is still served. The lock alone makes the claim effective; the incarnation is also in
-    // the journal, which is written as soon as the folder can be written.
+    // A folder that can't be written now is still served. The lock alone makes the claim effective; the incarnation
+    // is also in the journal, which is written as soon as the folder can be written.
     if let Err(e) = write_claim(&mut file, &claim) {
         tracing::warn!(target: "journal", "the owner file of the state folder can't be written: {e}");
     }
--- a/src/store/records.rs
+++ b/src/store/records.rs
@@ -145,8 +145,8 @@
             _ => Some(FinalOutcome::HandedBack(wait)),
         })
     }
-    /// The fields of an [`END`] after the message: its number, its time, how the message ended, and the last reply. `None` if
-    /// the message is not for the history.
+    /// The fields of an [`END`] after the message: its number, its time, how the message ended, and the last reply.
+    /// `None` if the message is not for the history.
     pub fn history_end(&mut self) -> Option<(u64, Micros, EndKind, Option<String>)> {
         let (seq, at) = (self.u64()?, Micros(self.u64()?));
         let how = match self.u8()? {
--- a/src/store/recovery.rs
+++ b/src/store/recovery.rs
@@ -1,4 +1,5 @@
-//! Reads a folder when it is opened: the records that can be read, and the messages that are uncertain because of the rest.
+//! Reads a folder when it is opened: the records that can be read, and the messages that are uncertain because of the
+//! rest.
 
 use super::history_backlog::RecoveredEnds;
 use super::records::{apply, Fields, ACCEPT, ATTEMPT_START, END, SEGMENT_START};
@@ -68,8 +69,8 @@
     }
 }
 
-/// Reads all segments of a folder, the oldest first. Bytes of a failed append that could not be cut off are neither a record
-/// nor a damage; the next segment holds the offset at which they begin.
+/// Reads all segments of a folder, the oldest first. Bytes of a failed append that could not be cut off are neither a
+/// record nor a damage; the next segment holds the offset at which they begin.
 pub(super) fn read_segments(storage: &dyn Storage, recovery: &mut Recovery) -> io::Result<Vec<Segment>> {
     let mut names: Vec<(u64, String)> = Vec::new();
     for name in storage.names()? {
@@ -152,8 +153,8 @@
         self.ended.push(EndedMessage { seq, msg, state, at, how });
     }
 
-    /// A process that another one follows has no calls in flight any more, unless it handed them over. If they stayed open,
-    /// an outcome recorded by the new process would be taken for that of a call which it never made.
+    /// A process that another one follows has no calls in flight any more, unless it handed them over. If they stayed
+    /// open, an outcome recorded by the new process would be taken for that of a call which it never made.
     pub fn apply_start_mode(&mut self, start_mode: StartMode) {
         if start_mode == StartMode::Restart {
             self.pending.values_mut().for_each(MessageState::open_attempt_is_lost);
@@ -184,8 +185,8 @@
     }
 }
 
-/// Marks the messages that were accepted before the last damage as ones that may have run: an attempt start of theirs may
-/// have been in the damaged bytes. Returns their number.
+/// Marks the messages that were accepted before the last damage as ones that may have run: an attempt start of theirs
+/// may have been in the damaged bytes. Returns their number.
 pub(super) fn mark_uncertain(
     pending: &mut BTreeMap<u64, MessageState>, accepted_at: &BTreeMap<u64, (u64, usize)>, damages: &[Damage],
 ) -> usize {
--- a/src/store/salvage.rs
+++ b/src/store/salvage.rs
@@ -1,10 +1,10 @@
-//! Finds the readable records of a segment that may be damaged, without I/O. Records are `length u32, crc32 u32, body`. After
-//! a damaged record the next intact one is found by the damaged record's length, if that leads to an intact record, otherwise
-//! by trying every offset.
+//! Finds the readable records of a segment that may be damaged, without I/O. A record is
+//! `length u32, crc32 u32, body`. After a damaged record the next intact one is found by the damaged record's length,
+//! if that leads to an intact record, otherwise by trying every offset.
 //!
-//! A body may contain bytes that look like a record. While the length leads to an intact record the body is never searched.
-//! It is searched only if the length itself is damaged, and then a chain of records must lead from the offset to the end of
-//! the segment.
+//! A body may contain bytes that look like a record. While the length leads to an intact record the body is never
+//! searched. It is searched only if the length itself is damaged, and then a chain of records must lead from the
+//! offset to the end of the segment.
 
 use std::ops::Range;
 
@@ -12,8 +12,8 @@
 pub const RECORD_HEADER_BYTES: usize = 8;
 /// A longer length counts as damaged.
 const MAX_BODY_BYTES: usize = 1 << 26;
-/// The shortest body holds a kind and a message. Without this limit a range of zeros would be read as records with an empty
-/// body.
+/// The shortest body holds a kind and a message. Without this limit a range of zeros would be read as records with an
+/// empty body.
 const MIN_BODY_BYTES: usize = 9;
 /// Record kinds are numbered from 1 to this.
 const MAX_KIND: u8 = 6;
@@ -23,7 +23,8 @@
 pub enum SegmentPart {
     /// The body of an intact record.
     Record(Range<usize>),
-    /// Unreadable bytes that are followed by intact records, or that are complete by their length but fail the checksum.
+    /// Unreadable bytes that are followed by intact records, or that are complete by their length but fail the
+    /// checksum.
     Damage(Range<usize>),
     /// An incomplete last record. The process died while writing it, so the step that it covers was not acknowledged.
     Torn(Range<usize>),
@@ -50,8 +51,8 @@
     record.is_some_and(|(body, _)| bytes.get(body.start).is_some_and(|kind| (1..=MAX_KIND).contains(kind)))
 }
 
-/// Whether intact records follow each other from this offset to the end of the segment. The last one may be incomplete if its
-/// existing part has a valid length and kind.
+/// Whether intact records follow each other from this offset to the end of the segment. The last one may be
+/// incomplete if its existing part has a valid length and kind.
 fn chain_reaches_end(bytes: &[u8], mut at: usize) -> bool {
     while let Some((_, end)) = record_at(bytes, at) {
         at = end;
@@ -84,7 +85,8 @@
                 out.push(SegmentPart::Damage(at..next));
                 at = next;
             }
-            // The record is complete by its length and nothing readable follows: it was fully written and has changed since.
+            // The record is complete by its length and nothing readable follows: it was fully written and has changed
+            // since.
             (None, Some(_)) => {
                 out.push(SegmentPart::Damage(at..bytes.len()));
                 at = bytes.len();
--- a/src/store/segments.rs
+++ b/src/store/segments.rs
@@ -21,15 +21,16 @@
 }
 
 impl Journal {
-    /// Bytes on disk, each file in whole blocks. The file of ids counts twice, because a new copy is written beside the old
-    /// one.
+    /// Bytes on disk, each file in whole blocks. The file of ids counts twice, because a new copy is written beside
+    /// the old one.
     pub fn disk_bytes(&self) -> u64 {
         let ids = self.ids_bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES * 2;
         ids + self.damaged_copies_bytes
             + self.segments.iter().map(|s| s.bytes.div_ceil(BLOCK_BYTES) * BLOCK_BYTES).sum::<u64>()
     }
 
-    /// Removes the oldest segments as long as they hold no live message. If a removal fails, the next call tries it again.
+    /// Removes the oldest segments as long as they hold no live message. If a removal fails, the next call tries it
+    /// again.
     pub(super) fn remove_dead_segments(&mut self) {
         while self.segments.len() > 1 && self.segments[0].live.is_empty() {
             match self.storage.remove(&self.segments[0].name) {
@@ -39,12 +40,12 @@
         }
     }
 
-    /// Makes room for this many more bytes, plus a reserve for rewriting one segment and for the outcomes and ends of the
-    /// pending messages, which must never be refused. Returns whether there is room.
+    /// Makes room for this many more bytes, plus a reserve for rewriting one segment and for the outcomes and ends of
+    /// the pending messages, which must never be refused. Returns whether there is room.
     ///
-    /// One long-lived message keeps the oldest segment and all after it. So while more than half of the budget is used, the
-    /// live messages of the oldest segment are copied to the tail. This is not done if live messages make up most of the
-    /// journal: every refused req would then rewrite all of it.
+    /// One long-lived message keeps the oldest segment and all after it. So while more than half of the budget is
+    /// used, the live messages of the oldest segment are copied to the tail. This is not done if live messages make
+    /// up most of the journal: every refused req would then rewrite all of it.
     pub(super) fn make_room(&mut self, bytes: u64) -> io::Result<bool> {
         let reserve = self.segment_bytes * 4;
         for _ in 0..self.segments.len() {
--- a/src/store/storage.rs
+++ b/src/store/storage.rs
@@ -57,8 +57,9 @@
         Ok(&mut self.open_files[at].1)
     }
 
-    /// Retries `open` after closing one of the storage's own files if no file descriptor is left; the closed file is opened
-    /// again when it is needed. Otherwise connections that use up all descriptors would stop the journal's writes.
+    /// Retries `open` after closing one of the storage's own files if no file descriptor is left; the closed file is
+    /// opened again when it is needed. Otherwise connections that use up all descriptors would stop the journal's
+    /// writes.
     fn with_descriptor<T>(&mut self, open: impl Fn() -> io::Result<T>) -> io::Result<T> {
         loop {
             match open() {
@@ -100,7 +101,8 @@
         let temporary = self.dir.join(format!("{name}.new"));
         let written = self.with_descriptor(|| fs::write(&temporary, bytes));
         let replaced = written.and_then(|()| fs::rename(&temporary, self.dir.join(name)));
-        // A partly written file takes disk space that others may need. If it can't be removed, the next write replaces it.
+        // A partly written file takes disk space that others may need. If it can't be removed, the next write
+        // replaces it.
         replaced.inspect_err(|_| drop(fs::remove_file(&temporary)))
     }
 
--- a/tests/recording.rs
+++ b/tests/recording.rs
@@ -106,7 +106,7 @@
     };
     let fetch = run.next_fetch();
     assert_eq!(fetch.msg, msg);
-    home.fail(Script { part: 5, errno: IO_ERROR, ..Script::default() });
+    home.fail(Script { partial_bytes: 5, errno: IO_ERROR, ..Script::default() });
     assert_eq!(run.core.report(run.now, Report::Begin(fetch.clone())), Answer::MayBegin(false));
     assert!(
         matches!(run.accept("second", 1), Answer::Refused(_)),
@@ -123,7 +123,7 @@
         }
     }
     assert!((10..200).contains(&tries), "{tries} tries in 3 s; a message has eight attempts in all");
-    home.heal();
+    home.recover();
     let fetch = run.next_fetch();
     assert_eq!(fetch.msg, msg, "the accepted message is still pending");
     assert_eq!(run.core.report(run.now, Report::Begin(fetch)), Answer::MayBegin(true));
@@ -141,7 +141,7 @@
     home.fail(Script::default());
     run.report_done(&fetch, End::Rejected);
     assert_eq!(count_notices(&run.run_for(Micros(S))), 0, "the end is not recorded: a kill would undo it");
-    home.heal();
+    home.recover();
     assert_eq!(count_notices(&run.run_for(Micros(S / 10))), 1);
     // The next run sends the notice again and attempts no delivery.
     drop(run);
@@ -185,7 +185,7 @@
         home.fail_from(writes + 1);
         let answer = run.accept(&format!("m{n}"), 0);
         let failed_writes = home.writes().1;
-        home.heal();
+        home.recover();
         if failed_writes > 0 {
             refused = Some(answer);
             break;
--- a/tests/support/faulty_storage.rs
+++ b/tests/support/faulty_storage.rs
@@ -1,14 +1,16 @@
-//! A state folder in memory whose writes fail by a script: from one write on, for so many writes, with a part of the bytes written.
+//! Storage in memory whose writes fail by a script: from a given write on, for a given number of writes, with a part
+//! of the bytes written.
 
-// Each test file uses a part of it.
+// Each test file uses only part of this module.
 #![allow(dead_code)]
 
 use indigohold::store::storage::{MemoryStorage, Storage};
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard};
 
-/// `ENOSPC` and `EIO`, as Linux numbers them.
+/// `ENOSPC` on Linux.
 pub const NO_SPACE: i32 = 28;
+/// `EIO` on Linux.
 pub const IO_ERROR: i32 = 5;
 
 /// Which writes fail, and how.
@@ -16,19 +18,19 @@
 pub struct Script {
     /// Number of the first write that fails, from 0.
     pub from: usize,
-    /// So many fail.
+    /// Number of writes that fail.
     pub count: usize,
-    /// Bytes of a failing append that are written all the same.
-    pub part: usize,
-    /// A file can't be cut either while writes fail.
-    pub cuts_fail: bool,
-    /// The error.
+    /// Number of bytes that a failing append still writes.
+    pub partial_bytes: usize,
+    /// Truncation fails too while writes fail.
+    pub truncate_fails: bool,
+    /// The error number.
     pub errno: i32,
 }
 
 impl Default for Script {
     fn default() -> Script {
-        Script { from: usize::MAX, count: 0, part: 0, cuts_fail: false, errno: NO_SPACE }
+        Script { from: usize::MAX, count: 0, partial_bytes: 0, truncate_fails: false, errno: NO_SPACE }
     }
 }
 
@@ -48,50 +50,51 @@
 
 impl FaultyStorage {
     pub fn new(script: Script) -> FaultyStorage {
-        let home = FaultyStorage::default();
-        home.state().script = script;
-        home
+        let storage = FaultyStorage::default();
+        storage.state().script = script;
+        storage
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap()
     }
 
-    /// All writes fail from now on.
+    /// All writes fail from now on, as `script` says; its `from` and `count` are not used.
     pub fn fail(&self, script: Script) {
         let mut state = self.state();
         state.script = Script { from: state.writes, count: usize::MAX, ..script };
     }
 
-    /// All writes from this one on fail.
+    /// All writes fail from the one with this number on.
     pub fn fail_from(&self, from: usize) {
         self.state().script = Script { from, count: usize::MAX, ..Script::default() };
     }
 
-    /// Writes succeed from now on.
-    pub fn heal(&self) {
+    /// All writes succeed from now on.
+    pub fn recover(&self) {
         self.state().script = Script::default();
     }
 
-    /// Writes so far, and how many of them failed.
+    /// The number of writes so far, and how many of them failed.
     pub fn writes(&self) -> (usize, usize) {
         let state = self.state();
         (state.writes, state.failed)
     }
 
-    /// The next write; an error if it is to fail.
-    fn write(&self) -> Result<(), (io::Error, usize)> {
+    /// Counts a write. The error, if it is to fail, holds the number of bytes that are written all the same.
+    fn count_write(&self) -> Result<(), (io::Error, usize)> {
         let mut state = self.state();
         let number = state.writes;
         state.writes += 1;
-        let Script { from, count, part, errno, .. } = state.script;
+        let Script { from, count, partial_bytes, errno, .. } = state.script;
         if number < from || number - from >= count {
             return Ok(());
         }
         state.failed += 1;
-        Err((io::Error::from_raw_os_error(errno), part))
+        Err((io::Error::from_raw_os_error(errno), partial_bytes))
     }
 
+    /// Whether the last write failed, by the script.
     fn failing(&self) -> bool {
         let state = self.state();
         let Script { from, count, .. } = state.script;
@@ -109,21 +112,21 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.write().or_else(|(e, part)| {
-            self.files.append(name, &bytes[..part.min(bytes.len() - 1)])?;
+        self.count_write().or_else(|(e, partial_bytes)| {
+            self.files.append(name, &bytes[..partial_bytes.min(bytes.len() - 1)])?;
             Err(e)
         })?;
         self.files.append(name, bytes)
     }
 
     fn replace(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.write().map_err(|(e, _)| e)?;
+        self.count_write().map_err(|(e, _)| e)?;
         self.files.replace(name, bytes)
     }
 
     fn truncate(&mut self, name: &str, length: u64) -> io::Result<()> {
         let state = self.state();
-        let (fails, errno) = (state.script.cuts_fail, state.script.errno);
+        let (fails, errno) = (state.script.truncate_fails, state.script.errno);
         drop(state);
         if fails && self.failing() {
             return Err(io::Error::from_raw_os_error(errno));
