--- a/src/log.rs
+++ b/src/log.rs
@@ -1,8 +1,8 @@
-//! The log: structured events by `tracing`, on standard error, one line each, for people or as JSON.
+//! The log: `tracing` events on standard error, one line each, as text or as JSON.
 //!
-//! At the default level a line is written for a message only where an earlier process may have sent it. A flood is bounded, but at
-//! `debug` and below: of equal lines, and of all lines from one place in the program, only so many in ten seconds are written; the
-//! next one says how many were left out.
+//! At the default level, a single message is logged only if an earlier process may have sent it already. At `info` and above
+//! the rate is limited: in ten seconds at most 10 equal lines and at most 100 lines from one place in the source are
+//! written, and the next line that is written has the number of those that were left out.
 
 use serde_json::{Map, Value};
 use std::cell::Cell;
@@ -22,34 +22,34 @@
 use tracing_subscriber::util::SubscriberInitExt;
 use tracing_subscriber::Layer;
 
-/// How lines are written.
+/// Format of the lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, clap::ValueEnum)]
 pub enum Format {
-    /// `indigohold: words field=value`
+    /// `indigohold: message field=value`
     #[default]
     Human,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Starts the log. `levels` is a level, or a list such as `info,discovery=debug`; an error says what is wrong with it.
+/// Starts the log. `levels` is a level or a list such as `info,discovery=debug`; the error says what is wrong with it.
 pub fn start(format: Format, levels: &str) -> Result<(), String> {
     let targets: Targets = levels.parse().map_err(|e| format!("log levels: {levels:?}: {e}"))?;
-    let lines = tracing_subscriber::fmt::layer()
-        .event_format(Lines(format))
+    let layer = tracing_subscriber::fmt::layer()
+        .event_format(LineFormatter(format))
         .with_writer(std::io::stderr)
-        .with_filter(targets.and(Flood::default()));
-    // Only a second start in one process can fail, and then the first one holds.
-    let _ = tracing_subscriber::registry().with(lines).try_init();
+        .with_filter(targets.and(RateLimit::default()));
+    // This fails only if the log was started before in this process, and then the first configuration stays.
+    let _ = tracing_subscriber::registry().with(layer).try_init();
     Ok(())
 }
 
 thread_local! {
-    /// Lines like the one that is about to be written which were left out.
+    /// Number of lines like the next one that were left out. The filter passes it to the formatter on the same thread.
     static LEFT_OUT: Cell<u64> = const { Cell::new(0) };
 }
 
-struct Lines(Format);
+struct LineFormatter(Format);
 
 #[derive(Default)]
 struct Fields(Vec<(&'static str, Value)>);
@@ -84,12 +84,12 @@
     }
 }
 
-/// Danger: words from a partner or a file may hold line ends, and one event must stay one line.
+/// Replaces line ends, which texts from partners and files may contain, so that each event stays one line.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\r'], " ")
 }
 
-impl<S, N> FormatEvent<S, N> for Lines
+impl<S, N> FormatEvent<S, N> for LineFormatter
 where
     S: Subscriber + for<'a> LookupSpan<'a>,
     N: for<'a> FormatFields<'a> + 'static,
@@ -128,61 +128,67 @@
     }
 }
 
-/// So many lines in so long: equal ones, and all from one place.
+/// Period of the limits on the number of lines.
 const WINDOW: Duration = Duration::from_secs(10);
-const EQUAL_MOST: u64 = 10;
-const PLACE_MOST: u64 = 100;
-/// Lines and places that are counted at a time.
-const COUNTED_MOST: usize = 512;
+/// Most equal lines per period.
+const MAX_EQUAL_LINES: u64 = 10;
+/// Most lines per period from one place in the source.
+const MAX_CALLSITE_LINES: u64 = 100;
+/// Most counters, of equal lines and of places, that are kept at a time.
+const MAX_COUNTERS: usize = 512;
 
 #[derive(Default)]
-struct Flood(Mutex<HashMap<(usize, u64), Count>>);
+struct RateLimit(Mutex<HashMap<(usize, u64), LineCounter>>);
 
-struct Count {
+struct LineCounter {
     since: Instant,
     lines: u64,
     left_out: u64,
 }
 
-/// Whether one more may be written; if so, how many before it were not.
-fn count(all: &mut HashMap<(usize, u64), Count>, key: (usize, u64), most: u64, now: Instant) -> Option<u64> {
-    if all.len() >= COUNTED_MOST && !all.contains_key(&key) {
-        all.retain(|_, c| now < c.since + WINDOW);
-        if all.len() >= COUNTED_MOST {
-            all.clear();
+/// Counts a line. If it may be written, returns how many before it were left out.
+fn count_line(
+    counters: &mut HashMap<(usize, u64), LineCounter>, key: (usize, u64), max_lines: u64, now: Instant,
+) -> Option<u64> {
+    if counters.len() >= MAX_COUNTERS && !counters.contains_key(&key) {
+        counters.retain(|_, c| now < c.since + WINDOW);
+        if counters.len() >= MAX_COUNTERS {
+            counters.clear();
         }
     }
-    let seen = all.entry(key).or_insert(Count { since: now, lines: 0, left_out: 0 });
-    if now >= seen.since + WINDOW {
-        (seen.since, seen.lines) = (now, 0);
+    let counter = counters.entry(key).or_insert(LineCounter { since: now, lines: 0, left_out: 0 });
+    if now >= counter.since + WINDOW {
+        (counter.since, counter.lines) = (now, 0);
     }
-    seen.lines += 1;
-    if seen.lines > most {
-        seen.left_out += 1;
+    counter.lines += 1;
+    if counter.lines > max_lines {
+        counter.left_out += 1;
         return None;
     }
-    Some(std::mem::take(&mut seen.left_out))
+    Some(std::mem::take(&mut counter.left_out))
 }
 
-impl<S> Filter<S> for Flood {
+impl<S> Filter<S> for RateLimit {
     fn enabled(&self, _: &Metadata<'_>, _: &Context<'_, S>) -> bool {
         true
     }
 
     fn event_enabled(&self, event: &Event<'_>, _: &Context<'_, S>) -> bool {
-        // Who asks for details of each message wants all of them.
+        // At `debug` and below all lines are wanted.
         if *event.metadata().level() > Level::INFO {
             return true;
         }
-        let place = std::ptr::from_ref(event.metadata()) as usize;
+        let callsite = std::ptr::from_ref(event.metadata()) as usize;
         let mut hash = DefaultHasher::new();
         Fields::of(event).message().hash(&mut hash);
         let now = Instant::now();
-        let mut all = self.0.lock().unwrap_or_else(PoisonError::into_inner);
-        let equal = count(&mut all, (place, hash.finish()), EQUAL_MOST, now);
-        let Some(equal) = equal else { return false };
-        let Some(like) = count(&mut all, (place, 0), PLACE_MOST, now) else { return false };
-        LEFT_OUT.set(equal + like);
+        let mut counters = self.0.lock().unwrap_or_else(PoisonError::into_inner);
+        let left_out = count_line(&mut counters, (callsite, hash.finish()), MAX_EQUAL_LINES, now);
+        let Some(equal) = left_out else { return false };
+        let Some(same_callsite) = count_line(&mut counters, (callsite, 0), MAX_CALLSITE_LINES, now) else {
+            return false;
+        };
+        LEFT_OUT.set(equal + same_callsite);
         true
     }
 }
@@ -192,14 +198,18 @@
     use super::*;
 
     #[test]
-    fn a_flood_is_bounded_and_counted() {
-        let (mut all, start) = (HashMap::new(), Instant::now());
-        let written = (0..1000).filter(|_| count(&mut all, (1, 1), EQUAL_MOST, start).is_some()).count();
-        assert_eq!(written as u64, EQUAL_MOST);
-        assert_eq!(count(&mut all, (1, 1), EQUAL_MOST, start + WINDOW), Some(1000 - EQUAL_MOST));
+    fn many_lines_are_limited_and_counted() {
+        let (mut counters, start) = (HashMap::new(), Instant::now());
+        let written =
+            (0..1000).filter(|_| count_line(&mut counters, (1, 1), MAX_EQUAL_LINES, start).is_some()).count();
+        assert_eq!(written as u64, MAX_EQUAL_LINES);
+        assert_eq!(
+            count_line(&mut counters, (1, 1), MAX_EQUAL_LINES, start + WINDOW),
+            Some(1000 - MAX_EQUAL_LINES)
+        );
         for n in 0..10_000 {
-            count(&mut all, (2, n), EQUAL_MOST, start);
+            count_line(&mut counters, (2, n), MAX_EQUAL_LINES, start);
         }
-        assert!(all.len() <= COUNTED_MOST);
+        assert!(counters.len() <= MAX_COUNTERS);
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: its command line, and nothing else.
+//! The executable: parses the command line and runs the daemon or a command.
 
 use clap::Parser;
 use indigohold::admin::{client, AdminCommand};
@@ -6,17 +6,17 @@
 use indigohold::{daemon, log};
 use std::process::ExitCode;
 
-/// A file has faults, or was not found.
+/// Exit code if a file has faults or was not found.
 const FAULTS: u8 = 2;
 
-/// The door said no.
-const NO: u8 = 3;
+/// Exit code if the admin server refused the command.
+const REFUSED: u8 = 3;
 
-/// One call at the operators' door.
-fn door(cli: &Cli, call: &AdminCommand) -> ExitCode {
-    match client::run(&cli.paths, call) {
+/// Sends a command to the admin server.
+fn admin(cli: &Cli, command: &AdminCommand) -> ExitCode {
+    match client::run(&cli.paths, command) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(NO),
+        Ok(false) => ExitCode::from(REFUSED),
         Err(e) => {
             eprintln!("indigohold: {e}");
             ExitCode::FAILURE
@@ -54,10 +54,10 @@
         Some(Command::Replay { socket, what }) => {
             return ExitCode::from(replay::run(&cli.paths.channel, socket, what))
         }
-        Some(Command::Ready) => return door(&cli, &AdminCommand::Ready),
-        Some(Command::Telemetry) => return door(&cli, &AdminCommand::Telemetry),
-        Some(Command::Exclude { id }) => return door(&cli, &AdminCommand::Exclude(id.clone())),
-        Some(Command::Include { id }) => return door(&cli, &AdminCommand::Include(id.clone())),
+        Some(Command::Ready) => return admin(&cli, &AdminCommand::Ready),
+        Some(Command::Telemetry) => return admin(&cli, &AdminCommand::Telemetry),
+        Some(Command::Exclude { id }) => return admin(&cli, &AdminCommand::Exclude(id.clone())),
+        Some(Command::Include { id }) => return admin(&cli, &AdminCommand::Include(id.clone())),
         Some(Command::Register(what)) => match register::run(&cli.paths, what) {
             Ok(text) => {
                 print!("{text}");
