--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -119,7 +119,7 @@
             named.collect::<Vec<_>>().join(", ")
         };
         let open: u64 = tally.open.values().sum();
-        let _ = write!(out, "{name}: {open} of {} places held", tally.places);
+        let _ = write!(out, "{name}: {open} of {} places held", tally.max_connections);
         let _ =
             write!(out, "{}", if open > 0 { format!(" ({})", words(&tally.open)) } else { String::new() });
         let _ = write!(out, "; {} let in, {} requests answered", tally.accepted, tally.answered);
--- a/src/net/acceptor/accepting.rs
+++ b/src/net/acceptor/accepting.rs
@@ -16,8 +16,8 @@
         for _ in 0..self.handle.descriptors_wanted.swap(0, Ordering::SeqCst).min(MAX_ACCEPTS_PER_ROUND) {
             self.stats.descriptor_shortages += 1;
             let Some(key) = self.admission.free_a_descriptor(now, now + REDUCED_PLACES_TIME) else { return };
-            if let Some(standing) = self.evict(now, key) {
-                *self.stats.evicted.entry(standing).or_default() += 1;
+            if let Some(state) = self.evict(now, key) {
+                *self.stats.evicted.entry(state).or_default() += 1;
             }
         }
     }
@@ -35,8 +35,8 @@
                 Decision::Accept => self.accept(now),
                 Decision::AcceptAfterClosing(key) => {
                     // If that connection has sent something, it is read first, and the next round tries again.
-                    let Some(standing) = self.evict(now, key) else { return };
-                    *self.stats.evicted.entry(standing).or_default() += 1;
+                    let Some(state) = self.evict(now, key) else { return };
+                    *self.stats.evicted.entry(state).or_default() += 1;
                 }
                 Decision::WaitUntil(until) => {
                     self.stats.deferred += 1;
@@ -122,31 +122,31 @@
         }
     }
 
-    /// Closes a connection in favour of another, unless it has just sent something. Returns its standing if it was closed.
+    /// Closes a connection in favour of another, unless it has just sent something. Returns its state if it was closed.
     /// Input that has arrived is read first: a request, or the last part of one, that crosses the close of its session would
     /// be lost or would have to be sent again.
     fn evict(&mut self, now: Micros, key: u64) -> Option<ConnState> {
-        let standing = self.admission.state(key)?;
+        let state = self.admission.state(key)?;
         // A client that does not read its replies is not read either. If its unread input spared it, it would be chosen and
         // spared again and again.
         let has_input =
             |c: &Connection<P::Session>| c.reads_requests() && c.stream.peek(&mut [0]).is_ok_and(|n| n > 0);
-        let may_ask = !matches!(standing, ConnState::BadRequest | ConnState::Closing);
+        let may_ask = !matches!(state, ConnState::BadRequest | ConnState::Closing);
         if may_ask && self.connections.get(&key).is_some_and(has_input) {
             self.admission.partial_request(now, key);
             self.mark_readable(key);
             return None;
         }
-        self.close_with_reply(key, standing);
-        Some(standing)
+        self.close_with_reply(key, state);
+        Some(state)
     }
 
     /// Sends the protocol's closing reply and closes the connection.
-    fn close_with_reply(&mut self, key: u64, standing: ConnState) {
+    fn close_with_reply(&mut self, key: u64, state: ConnState) {
         if let Some(connection) = self.connections.get_mut(&key) {
             // There is no pending output, so this short reply fits into the send buffer. An error means that the connection is
             // closed already.
-            let why = if standing == ConnState::Receiving { CloseReason::Half } else { CloseReason::Idle };
+            let why = if state == ConnState::Receiving { CloseReason::Half } else { CloseReason::Idle };
             tracing::debug!(target: "clients", connection = key, ?why, "a connection is closed");
             let reply = self.protocol.closing_reply(why);
             if !reply.is_empty() && connection.unsent.is_empty() && !connection.close_after_write {
--- a/src/net/acceptor/handle.rs
+++ b/src/net/acceptor/handle.rs
@@ -26,14 +26,15 @@
 /// Counters of one acceptor, for status reports.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AcceptorStats {
-    /// The largest number of connections.
-    pub places: u64,
-    /// Open connections by standing.
+    /// The largest number of open connections.
+    #[serde(rename = "places")]
+    pub max_connections: u64,
+    /// Open connections by state.
     pub open: BTreeMap<ConnState, u64>,
     /// Connections accepted so far.
     #[serde(rename = "let_in")]
     pub accepted: u64,
-    /// Those closed in favour of others, by their standing at that time.
+    /// Those closed in favour of others, by their state at that time.
     #[serde(rename = "made_room")]
     pub evicted: BTreeMap<ConnState, u64>,
     /// Those closed because their time limit had passed.
--- a/src/net/acceptor/mod.rs
+++ b/src/net/acceptor/mod.rs
@@ -133,7 +133,8 @@
             handover: Arc::clone(&handover),
             finished: Arc::clone(&finished),
         });
-        let stats = AcceptorStats { places: rules.max_connections as u64, ..AcceptorStats::default() };
+        let stats =
+            AcceptorStats { max_connections: rules.max_connections as u64, ..AcceptorStats::default() };
         Ok(ConnectionAcceptor {
             protocol,
             clock,
@@ -245,7 +246,7 @@
             return;
         }
         self.published_at = now;
-        let count = |standing: &ConnState| (*standing, self.admission.count(*standing) as u64);
+        let count = |state: &ConnState| (*state, self.admission.count(*state) as u64);
         self.stats.open = ConnState::ALL.iter().map(count).filter(|(_, n)| *n > 0).collect();
         *self.published_stats.lock().unwrap_or_else(PoisonError::into_inner) = self.stats.clone();
     }
