--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -30,8 +30,8 @@
 const SOCKET_NAME: &str = "upgrade.sock";
 /// How long the old process waits for its connection acceptor to finish its current round.
 const QUIESCE_TIMEOUT: Micros = Micros(500_000);
-/// How long the old process waits until the new one has the complete state, and for the write of one call's end. Clients
-/// wait 400 ms for an answer, so a new process that hangs must not block them for longer than needed.
+/// How long the old process waits until the new one has the complete state, and for the write of one call's end.
+/// Clients wait 400 ms for an answer, so a new process that hangs must not block them for longer than needed.
 const READY_TIMEOUT: Micros = Micros(700_000);
 /// How long the new process tries to claim the folder and repeats its request.
 const CLAIM_TIMEOUT: Duration = Duration::from_millis(4_500);
--- a/tests/comeback.rs
+++ b/tests/comeback.rs
@@ -59,12 +59,13 @@
 fn a_retry_after_wait_stays_in_force_across_restarts() {
     let fleet: Vec<_> = (0..4)
         .map(|_| {
-            let (mut site, log) = (environment(256, 64), Arc::<Mutex<PartnerLog>>::default());
-            site.set_endpoints(&[instance("s-0", start_partner(&log), 3, "up").replace("50.0", "50000.0")]);
-            (site, log)
+            let (mut environment, log) = (environment(256, 64), Arc::<Mutex<PartnerLog>>::default());
+            environment
+                .set_endpoints(&[instance("s-0", start_partner(&log), 3, "up").replace("50.0", "50000.0")]);
+            (environment, log)
         })
         .collect();
-    let mut programs: Vec<_> = fleet.iter().map(|(site, _)| site.start()).collect();
+    let mut programs: Vec<_> = fleet.iter().map(|(environment, _)| environment.start()).collect();
     for (_, addr) in &programs {
         assert_eq!(submit(&mut connect(*addr), "m0"), Response::Status(202));
     }
@@ -77,7 +78,7 @@
     let (mut ending, _) = programs.remove(0);
     ending.signal("TERM");
     programs.drain(..).for_each(|(program, _)| program.kill());
-    let after_kill: Vec<_> = fleet[1..3].iter().map(|(site, _)| site.start()).collect();
+    let after_kill: Vec<_> = fleet[1..3].iter().map(|(environment, _)| environment.start()).collect();
     assert!(ending.child.wait().unwrap().success());
     let mut recovered = vec![fleet[0].0.start()];
     recovered.extend(after_kill);
@@ -107,11 +108,11 @@
 fn recovered_couriers_limit_their_send_rate_by_the_demand_of_the_previous_run() {
     let mut fleet: Vec<Environment> = (0..6).map(|_| environment(256, 64)).collect();
     let partner = fleet[0].endpoint.addr;
-    for site in &mut fleet {
-        site.set_endpoints(&[instance("s-0", partner, 3, "up")]);
+    for environment in &mut fleet {
+        environment.set_endpoints(&[instance("s-0", partner, 3, "up")]);
         // No endpoint reports a limit.
-        site.config["settings"]["weights"] = "off".into();
-        site.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
+        environment.config["settings"]["weights"] = "off".into();
+        environment.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
     }
     let mut programs: Vec<_> = fleet.iter().map(Environment::start).collect();
     let mut clients: Vec<_> = programs.iter().map(|(_, addr)| connect(*addr)).collect();
--- a/tests/earlier_calls.rs
+++ b/tests/earlier_calls.rs
@@ -1,6 +1,7 @@
-//! Calls of unknown outcome across kills, with real processes and a fault proxy in front of the partner. A first process
-//! is killed during a call; the attempt of a second process fails before its first byte. Guards against a third process
-//! that takes this failure for the outcome of the call and sends the message again after the repeat window.
+//! Calls of unknown outcome across kills, with real processes and a fault proxy in front of the partner. A first
+//! process is killed during a call; the attempt of a second process fails before its first byte. Guards against a
+//! third process that takes this failure for the outcome of the call and sends the message again after the repeat
+//! window.
 
 mod support;
 
@@ -29,20 +30,20 @@
     }
 }
 
-fn create_sites(addr: SocketAddr) -> Vec<Environment> {
-    let create_site = |_| {
-        let mut site = environment(256, 64);
-        site.set_endpoints(&[instance("s-3", addr, 3, "up").replace("50.0", "0.0")]);
-        site.config["settings"]["weights"] = "off".into();
-        site.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
-        site.config["settings"]["profiles"][0]["repeatWindow"] = 6_000_000.into();
-        site
+fn create_environments(addr: SocketAddr) -> Vec<Environment> {
+    let create_environment = |_| {
+        let mut environment = environment(256, 64);
+        environment.set_endpoints(&[instance("s-3", addr, 3, "up").replace("50.0", "0.0")]);
+        environment.config["settings"]["weights"] = "off".into();
+        environment.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
+        environment.config["settings"]["profiles"][0]["repeatWindow"] = 6_000_000.into();
+        environment
     };
-    (0..COURIER_COUNT).map(create_site).collect()
+    (0..COURIER_COUNT).map(create_environment).collect()
 }
 
-fn start_all(sites: &[Environment]) -> Vec<(Program, SocketAddr)> {
-    sites.iter().map(Environment::start).collect()
+fn start_all(environments: &[Environment]) -> Vec<(Program, SocketAddr)> {
+    environments.iter().map(Environment::start).collect()
 }
 
 fn kill_all(programs: Vec<(Program, SocketAddr)>) {
@@ -117,13 +118,14 @@
     )
 }
 
-/// Hands one message to each courier. Its first call hangs and the courier is killed; the second process fails to begin a
-/// call and is killed; the third starts after the repeat window. Checks that it gives the message up and sends nothing.
+/// Hands one message to each courier. Its first call hangs and the courier is killed; the second process fails to
+/// begin a call and is killed; the third starts after the repeat window. Checks that it gives the message up and
+/// sends nothing.
 fn check_no_repeat_after_the_window(
     partner: &Endpoint, partner_addr: SocketAddr, fault: &mut dyn ConnectFault,
 ) {
-    let sites = create_sites(partner_addr);
-    let first = start_all(&sites);
+    let environments = create_environments(partner_addr);
+    let first = start_all(&environments);
     let started = Instant::now();
     for (i, (_, courier_addr)) in first.iter().enumerate() {
         assert_eq!(ask(*courier_addr, request_text(&format!("m{i}")).as_bytes()).status(), 202);
@@ -131,7 +133,7 @@
     until("the first calls", || (0..COURIER_COUNT).all(|i| partner.count(&format!("m{i}")) == 1));
     kill_all(first);
     fault.apply();
-    let mut second = start_all(&sites);
+    let mut second = start_all(&environments);
     for (program, _) in &mut second {
         program.line_with(RECOVERED_ATTEMPT_ENDED);
     }
@@ -141,14 +143,14 @@
     std::thread::sleep(
         (started + REPEAT_WINDOW + Duration::from_millis(300)).saturating_duration_since(Instant::now()),
     );
-    let _third = start_all(&sites);
+    let _third = start_all(&environments);
     until("the ends of all messages", || {
-        let ended = |i: usize| sites[i].discovery.noticed(&format!("m{i}")).is_some();
+        let ended = |i: usize| environments[i].discovery.noticed(&format!("m{i}")).is_some();
         (0..COURIER_COUNT).all(|i| ended(i) || partner.count(&format!("m{i}")) > 1)
     });
-    for (i, site) in sites.iter().enumerate() {
+    for (i, environment) in environments.iter().enumerate() {
         assert_eq!(partner.count(&format!("m{i}")), 1, "sent again after the repeat window");
-        assert_eq!(site.discovery.noticed(&format!("m{i}")).unwrap()["outcome"], "given_up");
+        assert_eq!(environment.discovery.noticed(&format!("m{i}")).unwrap()["outcome"], "given_up");
     }
 }
 
--- a/tests/process_end.rs
+++ b/tests/process_end.rs
@@ -107,8 +107,8 @@
 /// would get no answer.
 #[test]
 fn pipelined_requests_at_the_end_of_a_process_are_all_answered() {
-    let site = environment(256, 64);
-    let (program, addr) = site.start();
+    let environment = environment(256, 64);
+    let (program, addr) = environment.start();
     let mut pipelined = connect(addr);
     let idle = connect(addr);
     let send_first = |stream: &TcpStream, id: &str| {
--- a/tests/uncertain_calls_across_runs.rs
+++ b/tests/uncertain_calls_across_runs.rs
@@ -24,19 +24,19 @@
     })
 }
 
-fn sites(addr: SocketAddr) -> Vec<Environment> {
-    let new_site = |_| {
-        let mut site = environment(256, 64);
+fn environments(addr: SocketAddr) -> Vec<Environment> {
+    let new_environment = |_| {
+        let mut environment = environment(256, 64);
         // Each kind of message has its own destination, so that a wait for one does not affect the other. No limit is
         // reported.
         let entry = |name: &str, cell| instance(name, addr, cell, "up").replace("50.0", "0.0");
-        site.set_endpoints(&[entry("s-3", 3), entry("s-4", 4)]);
-        site.config["settings"]["weights"] = "off".into();
-        site.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
-        site.config["settings"]["profiles"][0]["repeatWindow"] = 6_000_000.into();
-        site
+        environment.set_endpoints(&[entry("s-3", 3), entry("s-4", 4)]);
+        environment.config["settings"]["weights"] = "off".into();
+        environment.config["settings"]["loadReport"]["names"] = serde_json::json!([]);
+        environment.config["settings"]["profiles"][0]["repeatWindow"] = 6_000_000.into();
+        environment
     };
-    (0..COURIER_COUNT).map(new_site).collect()
+    (0..COURIER_COUNT).map(new_environment).collect()
 }
 
 fn submit(addr: SocketAddr, id: &str, dest: u16) {
@@ -50,8 +50,8 @@
 #[test]
 fn a_call_in_flight_at_a_kill_is_never_repeated_outside_its_window() {
     let partner = start_partner();
-    let sites = sites(partner.addr);
-    let first: Vec<_> = sites.iter().map(Environment::start).collect();
+    let environments = environments(partner.addr);
+    let first: Vec<_> = environments.iter().map(Environment::start).collect();
     let begun = Instant::now();
     for (i, (_, addr)) in first.iter().enumerate() {
         submit(*addr, &format!("h{i}"), 3);
@@ -61,20 +61,20 @@
         |prefix: &str, n: usize| (0..COURIER_COUNT).all(|i| partner.count(&format!("{prefix}{i}")) >= n);
     until("the first calls", || all_called("h", 1) && all_called("n", 1));
     first.into_iter().for_each(|(process, _)| process.kill());
-    let second: Vec<_> = sites.iter().map(Environment::start).collect();
+    let second: Vec<_> = environments.iter().map(Environment::start).collect();
     until("the calls of the second run", || all_called("h", 2));
     assert!(begun.elapsed() < REPEAT_WINDOW, "the machine was too slow: the repeat window is over");
     second.into_iter().for_each(|(process, _)| process.kill());
     std::thread::sleep(
         (begun + REPEAT_WINDOW + Duration::from_millis(300)).saturating_duration_since(Instant::now()),
     );
-    let _third: Vec<_> = sites.iter().map(Environment::start).collect();
+    let _third: Vec<_> = environments.iter().map(Environment::start).collect();
     until("the notices for messages that may have taken effect", || {
-        (0..COURIER_COUNT).all(|i| sites[i].discovery.noticed(&format!("h{i}")).is_some())
+        (0..COURIER_COUNT).all(|i| environments[i].discovery.noticed(&format!("h{i}")).is_some())
     });
     until("the deliveries of the other messages", || all_called("n", 3));
-    for (i, site) in sites.iter().enumerate() {
+    for (i, environment) in environments.iter().enumerate() {
         assert_eq!(partner.count(&format!("h{i}")), 2, "sent again outside its repeat window");
-        assert_eq!(site.discovery.noticed(&format!("h{i}")).unwrap()["outcome"], "given_up");
+        assert_eq!(environment.discovery.noticed(&format!("h{i}")).unwrap()["outcome"], "given_up");
     }
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -20,9 +20,9 @@
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 /// Starts a courier that inherits the listener as descriptor 7, as from the platform.
-fn start_program(site: &Environment, listener: &TcpListener) -> Program {
+fn start_program(environment: &Environment, listener: &TcpListener) -> Program {
     let mut command = Command::new("sh");
-    surroundings(&mut command, &site.folder.0, &site.config.to_string());
+    surroundings(&mut command, &environment.folder.0, &environment.config.to_string());
     let script = format!("exec '{}' 7<&0 </dev/null", env!("CARGO_BIN_EXE_indigohold"));
     command.args(["-c", &script]).env("NODE_LISTEN_FD", "7").env("NODE_CONTROL", "127.0.0.1:0");
     command.stdin(Stdio::from(OwnedFd::from(listener.try_clone().unwrap())));
@@ -30,18 +30,18 @@
 }
 
 /// Starts a courier and waits until it is ready; returns it with the address of its admin server.
-fn start_ready(site: &Environment, listener: &TcpListener) -> (Program, SocketAddr) {
-    let mut program = start_program(site, listener);
+fn start_ready(environment: &Environment, listener: &TcpListener) -> (Program, SocketAddr) {
+    let mut program = start_program(environment, listener);
     program.line("indigohold: ready");
     let admin_addr = program.addr("door");
     (program, admin_addr)
 }
 
 /// Binds the listener and sets its address in the configuration.
-fn bind_listener(site: &mut Environment) -> (TcpListener, SocketAddr) {
+fn bind_listener(environment: &mut Environment) -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
-    site.config["listen"] = addr.to_string().into();
+    environment.config["listen"] = addr.to_string().into();
     (listener, addr)
 }
 
@@ -106,11 +106,11 @@
         thread::sleep(Duration::from_millis(30));
         Act::Answer(OK)
     });
-    let mut site = environment(256, 64);
-    site.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
-    site.set_endpoints(&[instance("s-0", slow_partner.addr, 3, "up").replace("50.0", "50000.0")]);
-    let (listener, addr) = bind_listener(&mut site);
-    let (mut program, mut admin_addr) = start_ready(&site, &listener);
+    let mut environment = environment(256, 64);
+    environment.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
+    environment.set_endpoints(&[instance("s-0", slow_partner.addr, 3, "up").replace("50.0", "50000.0")]);
+    let (listener, addr) = bind_listener(&mut environment);
+    let (mut program, mut admin_addr) = start_ready(&environment, &listener);
     let load = start_load(addr, 6);
     let mut completed = 0;
     let completed_count = |admin_addr: SocketAddr| -> u64 {
@@ -120,7 +120,7 @@
     };
     for _ in 0..5 {
         thread::sleep(Duration::from_millis(250));
-        let (mut next, next_admin_addr) = start_ready(&site, &listener);
+        let (mut next, next_admin_addr) = start_ready(&environment, &listener);
         assert!(admin_command(next_admin_addr, "readyz").starts_with("200 "));
         program.line_with("handed over");
         assert!(
@@ -142,7 +142,7 @@
     accepted.iter().for_each(|id| *counts.entry(slow_partner.count(id)).or_default() += 1);
     assert!(accepted.len() > 100, "{}", accepted.len());
     assert_eq!(counts, BTreeMap::from([(1, accepted.len())]), "deliveries by message");
-    assert_eq!(site.discovery.notices.lock().unwrap().len(), 0);
+    assert_eq!(environment.discovery.notices.lock().unwrap().len(), 0);
     completed += completed_count(admin_addr);
     assert!(completed > 0);
 }
@@ -158,17 +158,17 @@
         until("the release of the round", || released.load(Ordering::SeqCst) > round);
         Act::Answer(OK)
     });
-    let mut site = environment(256, 64);
-    site.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
-    site.set_endpoints(&[instance("s-0", partner.addr, 3, "up").replace("50.0", "50000.0")]);
-    let (listener, addr) = bind_listener(&mut site);
-    let (mut program, _) = start_ready(&site, &listener);
+    let mut environment = environment(256, 64);
+    environment.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
+    environment.set_endpoints(&[instance("s-0", partner.addr, 3, "up").replace("50.0", "50000.0")]);
+    let (listener, addr) = bind_listener(&mut environment);
+    let (mut program, _) = start_ready(&environment, &listener);
     for round in 0..4 {
         let ids: Vec<String> = (0..12).map(|n| format!("r{round}-{n}")).collect();
         let mut client = connect(addr);
         ids.iter().for_each(|id| assert_eq!(submit(&mut client, id), Response::Status(202)));
         until("all calls in flight", || ids.iter().all(|id| partner.count(id) == 1));
-        let (mut next, _) = start_ready(&site, &listener);
+        let (mut next, _) = start_ready(&environment, &listener);
         program.line_with("handed over");
         program.signal("TERM");
         program.line_with("told to end");
@@ -182,11 +182,11 @@
 
 #[test]
 fn a_new_process_that_exits_hangs_or_sends_invalid_requests_does_no_harm() {
-    let mut site = environment(256, 64);
-    let (listener, addr) = bind_listener(&mut site);
-    let (mut program, admin_addr) = start_ready(&site, &listener);
+    let mut environment = environment(256, 64);
+    let (listener, addr) = bind_listener(&mut environment);
+    let (mut program, admin_addr) = start_ready(&environment, &listener);
     let load = start_load(addr, 3);
-    let socket = site.folder.0.join("state/upgrade.sock");
+    let socket = environment.folder.0.join("state/upgrade.sock");
     let send_frame = |frame: &str| {
         let mut stream = UnixStream::connect(&socket).unwrap();
         stream.write_all(&(frame.len() as u32).to_le_bytes()).unwrap();
@@ -207,13 +207,13 @@
     thread::sleep(Duration::from_millis(900));
     assert!(admin_command(admin_addr, "readyz").starts_with("200 "));
     // A valid new process still takes over afterwards.
-    let (mut next, next_admin_addr) = start_ready(&site, &listener);
+    let (mut next, next_admin_addr) = start_ready(&environment, &listener);
     drop(hanging);
     program.line_with("handed over");
     assert!(admin_command(next_admin_addr, "readyz").starts_with("200 "));
     let (accepted, broken_connections) = load.stop();
     assert_eq!(broken_connections, 0);
-    until("one delivery of each message", || accepted.iter().all(|id| site.endpoint.count(id) == 1));
+    until("one delivery of each message", || accepted.iter().all(|id| environment.endpoint.count(id) == 1));
     program.kill();
     next.line_with("the process before has ended");
 }
@@ -221,12 +221,12 @@
 #[test]
 fn a_kill_at_any_moment_of_the_handover_loses_no_message() {
     for delay_ms in [0, 4, 8, 12, 16, 24, 40] {
-        let mut site = environment(256, 64);
-        let (listener, addr) = bind_listener(&mut site);
-        let (old, _) = start_ready(&site, &listener);
+        let mut environment = environment(256, 64);
+        let (listener, addr) = bind_listener(&mut environment);
+        let (old, _) = start_ready(&environment, &listener);
         let load = start_load(addr, 3);
         thread::sleep(Duration::from_millis(50));
-        let mut next = start_program(&site, &listener);
+        let mut next = start_program(&environment, &listener);
         thread::sleep(Duration::from_millis(delay_ms));
         old.kill();
         next.line("indigohold: ready");
@@ -234,7 +234,7 @@
         let (accepted, _) = load.stop();
         // A keyed message that may have run is repeated within its window, so it may be delivered twice, but at least
         // once.
-        until("all deliveries", || accepted.iter().all(|id| site.endpoint.count(id) >= 1));
+        until("all deliveries", || accepted.iter().all(|id| environment.endpoint.count(id) >= 1));
     }
 }
 
@@ -250,13 +250,13 @@
             )
         }
     });
-    let mut site = environment(256, 64);
-    site.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
+    let mut environment = environment(256, 64);
+    environment.config["settings"]["profiles"][0]["aim"] = 3_000_000.into();
     let excluded = endpoint(|_, _| Act::Answer(OK));
     let entries = [instance("s-0", partner.addr, 3, "up"), instance("s-1", excluded.addr, 4, "up")];
-    site.set_endpoints(&entries);
-    let (listener, addr) = bind_listener(&mut site);
-    let (mut old, admin_addr) = start_ready(&site, &listener);
+    environment.set_endpoints(&entries);
+    let (listener, addr) = bind_listener(&mut environment);
+    let (mut old, admin_addr) = start_ready(&environment, &listener);
     assert!(admin_command(admin_addr, "exclude s-1").starts_with("200 "));
     let mut stream = connect(addr);
     assert_eq!(submit(&mut stream, "long"), Response::Status(202));
@@ -265,7 +265,7 @@
     until("the answer with the wait", || partner.count("waits") == 1);
     let told_to_wait_at = Instant::now();
     thread::sleep(Duration::from_millis(20));
-    let (mut next, next_admin_addr) = start_ready(&site, &listener);
+    let (mut next, next_admin_addr) = start_ready(&environment, &listener);
     old.line_with("handed over");
     // The client connection stays usable.
     assert_eq!(submit(&mut stream, "after"), Response::Status(202));
@@ -286,12 +286,12 @@
 
 #[test]
 fn without_an_inherited_socket_the_listener_is_handed_over_and_a_second_owner_is_refused() {
-    let mut site = environment(256, 64);
-    site.config["control"] = "127.0.0.1:0".into();
-    let (mut old, addr) = site.start();
+    let mut environment = environment(256, 64);
+    environment.config["control"] = "127.0.0.1:0".into();
+    let (mut old, addr) = environment.start();
     let mut stream = connect(addr);
     assert_eq!(submit(&mut stream, "before"), Response::Status(202));
-    let (mut next, next_addr) = site.start();
+    let (mut next, next_addr) = environment.start();
     old.line_with("handed over");
     assert_eq!(next_addr, addr, "the same listener");
     assert_eq!(submit(&mut stream, "after"), Response::Status(202));
@@ -300,10 +300,12 @@
     next.line_with("the process before has ended");
     // A process with neither an admin server nor an inherited socket can't request a handover, and finds the folder
     // owned.
-    site.config["control"] = serde_json::Value::Null;
-    let mut third = Program::spawn(&site.folder.0, &site.config.to_string(), None);
+    environment.config["control"] = serde_json::Value::Null;
+    let mut third = Program::spawn(&environment.folder.0, &environment.config.to_string(), None);
     third.line_with("owns it since");
     assert_eq!(third.child.wait().unwrap().code(), Some(1));
-    until("all deliveries", || ["before", "after", "new"].iter().all(|id| site.endpoint.count(id) == 1));
+    until("all deliveries", || {
+        ["before", "after", "new"].iter().all(|id| environment.endpoint.count(id) == 1)
+    });
     let _ = TcpStream::connect(addr).unwrap();
 }
