--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -1,4 +1,4 @@
-//! The command line as its users see it: what is printed, and exit codes.
+//! The command line: output and exit codes.
 
 mod support;
 
@@ -49,7 +49,7 @@
     serde_json::json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:9", "settings": settings(20_000)})
 }
 
-fn keep(folder: &Path, age_s: u64) -> DiscoveryList {
+fn write_kept_copy(folder: &Path, age_s: u64) -> DiscoveryList {
     let read = ParsedList::parse(
         scripted::list(41, &[scripted::up("s-1", ([127, 0, 0, 1], 7).into(), 3)]).as_bytes(),
     );
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn check_names_every_fault_with_its_path() {
+fn check_reports_every_fault_with_its_path() {
     let folder = Folder::new();
     folder.write("config.json", &good_config().to_string());
     let out = run(&folder.0, &["check"]);
@@ -80,7 +80,7 @@
     folder.write("shared.json", r#"{"beat_ms": 1}"#);
     folder.write("register.json", r#"{"hold_ms": -1, "static": "own.json", "kept": {"evry": 1}}"#);
     let out = run(&folder.0, &["check"]);
-    let said = text(&out.stdout);
+    let output = text(&out.stdout);
     assert_eq!(out.status.code(), Some(2));
     for fault in [
         "listen: \"here\" is no address",
@@ -96,43 +96,43 @@
         "register.json: kept.evry: no such setting",
         "shared.json: beat_ms: 1 is not within",
     ] {
-        assert!(said.lines().any(|l| l.contains(fault)), "{fault}: {said}");
+        assert!(output.lines().any(|l| l.contains(fault)), "{fault}: {output}");
     }
-    assert_eq!(said.lines().count(), 12, "{said}");
+    assert_eq!(output.lines().count(), 12, "{output}");
     folder.write("register.json", r#"{"static": "own.json"}"#);
     folder.write("config.json", &good_config().to_string());
     folder.write("own.json", r#"{"generation": 1, "instances": [{"instanceId": "x"}, 4]}"#);
-    let said = text(&run(&folder.0, &["check"]).stdout);
+    let output = text(&run(&folder.0, &["check"]).stdout);
     assert!(
-        said.contains("own.json: instances[0]: missing field") && said.contains("own.json: instances[1]"),
-        "{said}"
+        output.contains("own.json: instances[0]: missing field") && output.contains("own.json: instances[1]"),
+        "{output}"
     );
 }
 
 #[test]
-fn the_kept_list_is_shown_with_its_age() {
+fn register_show_prints_the_kept_list_and_its_age() {
     let folder = Folder::new();
     let out = run(&folder.0, &["register", "show"]);
     assert_eq!(out.status.code(), Some(2));
     assert!(text(&out.stderr).contains("no list is kept"), "{out:?}");
-    keep(&folder.0, 120);
-    let said = text(&run(&folder.0, &["register", "show"]).stdout);
-    assert!(said.contains("s-1") && said.contains("127.0.0.1:7"), "{said}");
-    assert!(said.contains("1 backends, version 41, 12"), "{said}");
-    assert!(said.contains("used with 4 calls at once"), "{said}");
+    write_kept_copy(&folder.0, 120);
+    let output = text(&run(&folder.0, &["register", "show"]).stdout);
+    assert!(output.contains("s-1") && output.contains("127.0.0.1:7"), "{output}");
+    assert!(output.contains("1 backends, version 41, 12"), "{output}");
+    assert!(output.contains("used with 4 calls at once"), "{output}");
     let json = text(&run(&folder.0, &["register", "show", "--json"]).stdout);
     let json: serde_json::Value = serde_json::from_str(&json).unwrap();
     assert_eq!((&json["usable"], &json["list"]["generation"]), (&true.into(), &41.into()));
-    keep(&folder.0, 2 * 24 * 3600);
-    let said = text(&run(&folder.0, &["register", "show"]).stdout);
-    assert!(said.contains("too old to be used"), "{said}");
+    write_kept_copy(&folder.0, 2 * 24 * 3600);
+    let output = text(&run(&folder.0, &["register", "show"]).stdout);
+    assert!(output.contains("too old to be used"), "{output}");
 }
 
 #[test]
-fn a_list_goes_out_and_comes_in() {
+fn a_list_is_exported_and_imported() {
     let folder = Folder::new();
     folder.write("config.json", &good_config().to_string());
-    let list = keep(&folder.0, 1);
+    let list = write_kept_copy(&folder.0, 1);
     let file = folder.0.join("out.json");
     let out = run(&folder.0, &["register", "export", "--out", file.to_str().unwrap()]);
     assert!(out.status.success(), "{out:?}");
@@ -141,23 +141,23 @@
     let import = |args: &[&str]| run(&folder.0, &[&["register", "import"], args].concat());
     assert!(text(&import(&["x"]).stderr).contains("static: not set"));
     folder.write("register.json", r#"{"static": "own.json"}"#);
-    let bad = folder.write("bad.json", r#"{"generation": 1, "instances": [{"instanceId": "x"}]}"#);
-    let out = import(&[bad.to_str().unwrap()]);
+    let invalid = folder.write("bad.json", r#"{"generation": 1, "instances": [{"instanceId": "x"}]}"#);
+    let out = import(&[invalid.to_str().unwrap()]);
     assert_eq!(out.status.code(), Some(2));
     assert!(text(&out.stderr).contains("instances[0]: missing field"), "{out:?}");
-    assert!(!folder.0.join("own.json").exists(), "a bad list replaces nothing");
+    assert!(!folder.0.join("own.json").exists(), "an invalid list replaces no file");
     assert!(import(&[file.to_str().unwrap()]).status.success());
     let own = || ParsedList::parse(&std::fs::read(folder.0.join("own.json")).unwrap()).unwrap().list;
     assert_eq!(own(), list);
-    let more = scripted::list(1, &[scripted::up("s-2", ([127, 0, 0, 1], 8).into(), 4)]);
-    let more = folder.write("more.json", &more);
-    assert!(import(&[more.to_str().unwrap(), "--merge"]).status.success());
+    let other_list = scripted::list(1, &[scripted::up("s-2", ([127, 0, 0, 1], 8).into(), 4)]);
+    let other_list = folder.write("more.json", &other_list);
+    assert!(import(&[other_list.to_str().unwrap(), "--merge"]).status.success());
     assert_eq!(own().instances.iter().map(|i| i.instance_id.as_str()).collect::<Vec<_>>(), ["s-2", "s-1"]);
 }
 
-/// The log as JSON lines: each one an object with its time, level and target.
+/// With `--log-format json`, each log line is an object with its time, level and target.
 #[test]
-fn the_log_is_json_where_it_is_asked_for() {
+fn log_lines_are_json_objects_on_request() {
     let folder = Folder::new();
     let mut config = good_config();
     config["listen"] = "127.0.0.1:0".into();
@@ -173,7 +173,7 @@
         .spawn()
         .unwrap();
     let lines = std::io::BufRead::lines(std::io::BufReader::new(child.stderr.take().unwrap()));
-    // Its discovery is not there, which may be said before or after.
+    // Discovery is unreachable, which may be logged before or after the line that the test looks for.
     let parsed = lines.map(|line| serde_json::from_str::<serde_json::Value>(&line.unwrap()).unwrap());
     let first = parsed.into_iter().find(|line| line["target"] == "daemon").unwrap();
     child.kill().unwrap();
--- a/tests/room.rs
+++ b/tests/load_shedding.rs
@@ -1,11 +1,11 @@
-//! Load shedding: which messages are declined when the room for held messages is full.
+//! Load shedding: which messages are declined when the capacity for held messages (`max_open`) is used up.
 
 mod common;
 use common::*;
 use indigohold::*;
 
 #[test]
-fn a_full_room_sheds_messages_at_once_with_a_time_to_stay_away() {
+fn at_capacity_messages_are_declined_at_once_with_a_retry_after() {
     let mut set = settings();
     set.limits.max_open = Some(20);
     let mut harness = SenderHarness::new(set, vec![]);
@@ -17,7 +17,7 @@
     }
 }
 
-/// Guards against a full room that sheds messages of high and low worth alike for the same destination.
+/// Guards against shedding, at capacity, messages of high and low worth alike for the same destination.
 #[test]
 fn messages_of_the_least_worth_are_shed_first_from_the_longest_queue() {
     let mut set = settings();
@@ -30,15 +30,15 @@
 }
 
 /// Guards against an accepted message that is declined, without an attempt and with most of its time left,
-/// only because another message for the same destination was handed in.
+/// only because another message for the same destination was submitted.
 #[test]
 fn a_new_message_does_not_displace_accepted_ones_of_its_destination() {
     let mut set = settings();
     set.limits.max_open = Some(20);
     let mut harness = SenderHarness::new(set, vec![]);
     let mut ended: Vec<u64> = (0..19).flat_map(|id| answered_ids(&harness.demand(id, 7, 0))).collect();
-    assert_eq!(ended, Vec::<u64>::new(), "nothing is shed while there is room");
-    // The waiting messages are overdue by now, but they were accepted and keep their places.
+    assert_eq!(ended, Vec::<u64>::new(), "nothing is shed below the capacity");
+    // The waiting messages are overdue by now, but they were accepted and stay.
     harness.now += 6 * S;
     ended.extend(answered_ids(&harness.wait(S)));
     for id in 20..40 {
@@ -47,10 +47,10 @@
     assert_eq!(ended, Vec::<u64>::new());
 }
 
-/// Guards against the reverse: one destination's messages fill the room, and new messages for others are
+/// Guards against the reverse: one destination's messages use up the capacity, and new messages for others are
 /// refused.
 #[test]
-fn the_destination_with_by_far_the_longest_queue_makes_room_for_another() {
+fn messages_of_the_destination_with_by_far_the_longest_queue_are_shed_for_another() {
     let mut set = settings();
     set.limits.max_open = Some(20);
     let mut harness = SenderHarness::new(set, vec![]);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -14,22 +14,22 @@
     Demand { destination: u16, class: u16, key: u64 },
     Return { pick: usize, outcome: u8 },
     List { n: u8, state: u8 },
-    Hangup { pick: usize },
+    Withdraw { pick: usize },
     ListFailed,
     Probe { outcome: u8 },
-    Note { bytes: Vec<u8> },
+    Gossip { bytes: Vec<u8> },
     Wait { millis: u64 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        2 => proptest::collection::vec(0u8..=255, 0..300).prop_map(|bytes| Step::Note { bytes }),
-        1 => (0u8..8).prop_map(|n| Step::Note { bytes: endpoint(n).bytes().to_vec() }),
+        2 => proptest::collection::vec(0u8..=255, 0..300).prop_map(|bytes| Step::Gossip { bytes }),
+        1 => (0u8..8).prop_map(|n| Step::Gossip { bytes: endpoint(n).bytes().to_vec() }),
         2 => (1u16..21, 0u16..4, 0u64..4).prop_map(|(destination, class, key)| Step::Demand { destination, class, key }),
         6 => (1u16..4, 0u16..4, 0u64..4).prop_map(|(destination, class, key)| Step::Demand { destination, class, key }),
         6 => (0usize..40, 0u8..9).prop_map(|(pick, outcome)| Step::Return { pick, outcome }),
         1 => (1u8..7, 0u8..4).prop_map(|(n, state)| Step::List { n, state }),
-        1 => (0usize..40).prop_map(|pick| Step::Hangup { pick }),
+        1 => (0usize..40).prop_map(|pick| Step::Withdraw { pick }),
         1 => Just(Step::ListFailed),
         2 => (0u8..2).prop_map(|outcome| Step::Probe { outcome }),
         6 => prop_oneof![1u64..40, 40u64..900, 900u64..9000].prop_map(|millis| Step::Wait { millis }),
@@ -57,20 +57,20 @@
     let keyed_window = 12 * S;
     let slack = 20_000;
     let zone = |e: EndpointId| e.addr[3] % 2;
-    let line = |n: u8| Entry { zone: ZoneId(u16::from(n % 2)), ..entry(n, u16::from(n.div_ceil(2))) };
+    let list_entry = |n: u8| Entry { zone: ZoneId(u16::from(n % 2)), ..entry(n, u16::from(n.div_ceil(2))) };
     let mut sender = Sender::new(set.clone(), 11);
     let mut now = 3 * S;
     let mut seen: BTreeMap<u64, TrackedMessage> = BTreeMap::new();
     let mut states: BTreeMap<EndpointId, ListingState> =
         (1..41).map(|n| (endpoint(n), ListingState::Ready)).collect();
-    let mut waits: BTreeMap<(u16, Option<EndpointId>), u64> = BTreeMap::new();
+    let mut retry_after_until: BTreeMap<(u16, Option<EndpointId>), u64> = BTreeMap::new();
     let mut quiet_until: BTreeMap<u64, u64> = BTreeMap::new();
     let mut probes: Vec<EndpointId> = vec![];
     let mut timers: BTreeSet<u64> = BTreeSet::new();
     let mut all = vec![];
     let mut next = 0;
     let end = [Step::Wait { millis: 40_000 }];
-    let mut queue: Vec<Vec<Event>> = vec![vec![Event::WholeList((1..41).map(line).collect())]];
+    let mut queue: Vec<Vec<Event>> = vec![vec![Event::WholeList((1..41).map(list_entry).collect())]];
     for step in std::iter::once(&Step::Wait { millis: 1 }).chain(steps).chain(&end) {
         let mut until = now;
         match step {
@@ -85,7 +85,7 @@
                     key: (*key > 0).then_some(Key(*key)),
                     due: Micros(due),
                 };
-                let s = TrackedMessage {
+                let tracked = TrackedMessage {
                     class: *class,
                     destination: *destination,
                     key: *key,
@@ -93,13 +93,13 @@
                     order: next,
                     ..Default::default()
                 };
-                seen.insert(next, s);
+                seen.insert(next, tracked);
                 queue.push(vec![Event::Demand(message)]);
             }
             Step::Return { pick, outcome } => {
-                let out: Vec<u64> =
+                let in_flight: Vec<u64> =
                     seen.iter().filter(|(_, s)| s.in_flight.is_some()).map(|(id, _)| *id).collect();
-                if let Some(id) = out.get(pick % out.len().max(1)) {
+                if let Some(id) = in_flight.get(pick % in_flight.len().max(1)) {
                     let outcome = [
                         Outcome::Ok,
                         Outcome::Ok,
@@ -113,7 +113,7 @@
                     ][usize::from(*outcome)];
                     queue.push(vec![returned(
                         &mut seen,
-                        &mut waits,
+                        &mut retry_after_until,
                         &mut quiet_until,
                         set,
                         now,
@@ -127,9 +127,9 @@
                     [ListingState::Ready, ListingState::Ready, ListingState::Draining, ListingState::Gone]
                         [usize::from(*state)];
                 states.insert(endpoint(*n), state);
-                queue.push(vec![Event::ListChange(vec![Entry { state, ..line(*n) }])]);
+                queue.push(vec![Event::ListChange(vec![Entry { state, ..list_entry(*n) }])]);
             }
-            Step::Hangup { pick } => {
+            Step::Withdraw { pick } => {
                 let held: Vec<u64> = seen.iter().filter(|(_, s)| !s.finished).map(|(id, _)| *id).collect();
                 if let Some(id) = held.get(pick % held.len().max(1)) {
                     seen.get_mut(id).expect("held").finished = true;
@@ -143,7 +143,7 @@
                     queue.push(vec![Event::Probed { endpoint, outcome, latency: Micros(9), report: vec![] }]);
                 }
             }
-            Step::Note { bytes } => {
+            Step::Gossip { bytes } => {
                 queue.push(vec![Event::PeerGossip { from: PeerId(2), bytes: bytes.clone() }])
             }
             Step::Wait { millis } => until = now + millis * 1000,
@@ -164,7 +164,15 @@
                     vec![Event::TimerElapsed(TimerToken(0))]
                 } else {
                     let id = expiring.expect("the earlier one").1;
-                    vec![returned(&mut seen, &mut waits, &mut quiet_until, set, now, id, Outcome::Timeout)]
+                    vec![returned(
+                        &mut seen,
+                        &mut retry_after_until,
+                        &mut quiet_until,
+                        set,
+                        now,
+                        id,
+                        Outcome::Timeout,
+                    )]
                 }
             };
             let mut actions = vec![];
@@ -200,7 +208,7 @@
                         );
                         assert_eq!(u16::from(endpoint.addr[3].div_ceil(2)), me.destination);
                         let route = (me.destination, set.kinds[0].separate_routes.then_some(*endpoint));
-                        assert!(waits.get(&route).is_none_or(|w| *w <= now), "retry-after waits");
+                        assert!(retry_after_until.get(&route).is_none_or(|w| *w <= now), "Retry-After wait");
                         match (set.classes[usize::from(me.class)].effect, me.may_have_run) {
                             (Effect::Unsafe, risk) => assert!(risk.is_none(), "unsafe repeat"),
                             (Effect::Keyed { group, .. }, Some((sent, first))) => {
@@ -209,9 +217,10 @@
                             }
                             _ => {}
                         }
-                        let out = seen.values().filter(|s| s.in_flight.is_some()).count();
+                        let in_flight = seen.values().filter(|s| s.in_flight.is_some()).count();
                         assert!(
-                            set.kinds[0].max_batch_size > 1 || out < set.limits.slots.unwrap_or(99) as usize
+                            set.kinds[0].max_batch_size > 1
+                                || in_flight < set.limits.slots.unwrap_or(99) as usize
                         );
                         let me = seen.get_mut(&id.0).expect("known");
                         me.in_flight = Some((*endpoint, me.attempts, now));
@@ -254,24 +263,27 @@
 }
 
 fn returned(
-    seen: &mut BTreeMap<u64, TrackedMessage>, waits: &mut BTreeMap<(u16, Option<EndpointId>), u64>,
-    quiet_until: &mut BTreeMap<u64, u64>, set: &Settings, now: u64, id: u64, outcome: Outcome,
+    seen: &mut BTreeMap<u64, TrackedMessage>,
+    retry_after_until: &mut BTreeMap<(u16, Option<EndpointId>), u64>, quiet_until: &mut BTreeMap<u64, u64>,
+    set: &Settings, now: u64, id: u64, outcome: Outcome,
 ) -> Event {
-    let s = seen.get_mut(&id).expect("known");
-    let (endpoint, attempt, sent) = s.in_flight.take().expect("out");
+    let message = seen.get_mut(&id).expect("known");
+    let (endpoint, attempt, sent) = message.in_flight.take().expect("in flight");
     if matches!(outcome, Outcome::Error | Outcome::Timeout | Outcome::Reset) {
-        s.may_have_run.get_or_insert((sent, endpoint));
+        message.may_have_run.get_or_insert((sent, endpoint));
     }
-    if matches!(outcome, Outcome::Timeout | Outcome::Reset) && set.classes[usize::from(s.class)].in_order {
-        quiet_until.insert(s.key, now + set.rules.key_quiet.map_or(0, |q| q.0));
+    if matches!(outcome, Outcome::Timeout | Outcome::Reset)
+        && set.classes[usize::from(message.class)].in_order
+    {
+        quiet_until.insert(message.key, now + set.rules.key_quiet.map_or(0, |q| q.0));
     }
     if let Outcome::Refused(Some(wait)) = outcome {
-        let route = (s.destination, set.kinds[0].separate_routes.then_some(endpoint));
-        let until = waits.entry(route).or_default();
+        let route = (message.destination, set.kinds[0].separate_routes.then_some(endpoint));
+        let until = retry_after_until.entry(route).or_default();
         *until = (*until).max(now + wait.0);
     }
-    let terminal = s.finished || outcome == Outcome::Ok;
-    s.finished = terminal;
+    let terminal = message.finished || outcome == Outcome::Ok;
+    message.finished = terminal;
     let latency = Micros(now - sent);
     Event::Returned { id: MessageId(id), endpoint, outcome, terminal, latency, attempt, report: vec![] }
 }
@@ -285,22 +297,22 @@
     ordered.classes[2].in_order = true;
     ordered.limits.probes = true;
     ordered.limits.max_open = Some(12);
-    let mut apart = plain.clone();
-    apart.kinds[0].separate_routes = true;
-    apart.discovery = DiscoveryMode::Subscribe;
-    apart.weights = Weights::Rough;
-    let mut bundles = plain.clone();
-    bundles.kinds[0].max_batch_size = 4;
-    bundles.limits.max_attempts = Some(3);
-    bundles.classes[1].in_order = true;
-    // One of hundreds of senders: no load reports, no probes, and notes with arbitrary bytes.
+    let mut separate_routes = plain.clone();
+    separate_routes.kinds[0].separate_routes = true;
+    separate_routes.discovery = DiscoveryMode::Subscribe;
+    separate_routes.weights = Weights::Rough;
+    let mut batched = plain.clone();
+    batched.kinds[0].max_batch_size = 4;
+    batched.limits.max_attempts = Some(3);
+    batched.classes[1].in_order = true;
+    // One of hundreds of senders: no load reports, no probes, and gossip messages with arbitrary bytes.
     let mut many = plain.clone();
     many.senders = 300;
     many.weights = Weights::Nominal;
     many.limits.gossip = true;
     many.limits.slots = Some(3);
     many.limits.max_open = Some(12);
-    vec![plain, ordered, apart, bundles, many]
+    vec![plain, ordered, separate_routes, batched, many]
 }
 
 #[test]
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -73,7 +73,7 @@
     }
 }
 
-/// A message that is not delivered yet: its courier, the message as handed in, and the attempts made.
+/// A message that is not delivered yet: its courier, the message as submitted, and the attempts made.
 struct Held {
     owner: usize,
     message: Message,
@@ -85,31 +85,33 @@
 fn simulate(case: Case) -> (f64, usize) {
     let set = fleet_settings(case.senders, case.limit_known);
     let weight = if case.limit_known { case.capacity() } else { 0.0 };
-    let line = Entry { weight, ..entry(1, 7) };
-    let seeded = |seed: u64| SenderHarness::seeded(set.clone(), vec![line.clone()], seed);
+    let list_entry = Entry { weight, ..entry(1, 7) };
+    let seeded = |seed: u64| SenderHarness::seeded(set.clone(), vec![list_entry.clone()], seed);
     let mut fleet: Vec<SenderHarness> =
         (0..case.senders).map(|n| seeded(case.seed * 1_000 + u64::from(n))).collect();
     let start = fleet[0].now;
-    let (down, back) = (start + TIME_BEFORE_OUTAGE, start + TIME_BEFORE_OUTAGE + case.outage);
-    let end = back + (COLD_S * 1e6) as u64;
+    let (outage_start, outage_end) = (start + TIME_BEFORE_OUTAGE, start + TIME_BEFORE_OUTAGE + case.outage);
+    let end = outage_end + (COLD_S * 1e6) as u64;
     let mut random = Random(0x2545_f491_4f6c_dd1d ^ (case.seed << 20));
     let (mut next, mut id) = (start, 0u64);
     let mut held: std::collections::BTreeMap<u64, Held> = Default::default();
-    let mut out: Vec<(u64, usize, u64, Outcome)> = vec![];
+    let mut in_flight: Vec<(u64, usize, u64, Outcome)> = vec![];
     let mut arrivals: Vec<u64> = vec![];
     for now in (start..end).step_by(TICK as usize) {
         let mut sent: Vec<(usize, u64)> = vec![];
-        if case.killed && now == back {
-            out.clear();
+        if case.killed && now == outage_end {
+            in_flight.clear();
             for (n, harness) in fleet.iter_mut().enumerate() {
                 let mut restarted =
                     SenderHarness::without_list(set.clone(), case.seed * 1_000 + 500_000 + n as u64);
                 restarted.now = now;
                 // As the core does with the state that the earlier process run stored.
                 let per_s = case.capacity() * 0.8 / f64::from(case.senders);
-                let known = DecisionEngine::outages(&harness.sender, Micros(now));
+                let outages = DecisionEngine::outages(&harness.sender, Micros(now));
                 restarted.sender.restore_send_rate(DestinationId(7), per_s);
-                known.into_iter().for_each(|(id, outage)| restarted.sender.restore_outage(id, outage, per_s));
+                outages
+                    .into_iter()
+                    .for_each(|(id, outage)| restarted.sender.restore_outage(id, outage, per_s));
                 let own = held.values().filter(|h| h.owner == n);
                 let resumed = own.map(|h| {
                     let message = h.message.clone();
@@ -121,14 +123,14 @@
                     .filter(|(_, h)| h.owner == n)
                     .map(|(id, h)| (*id, h.attempts as u8))
                     .collect();
-                let listed = restarted.feed(vec![Event::WholeList(vec![line.clone()])]);
+                let listed = restarted.feed(vec![Event::WholeList(vec![list_entry.clone()])]);
                 sent.extend(attempted_ids(&listed).into_iter().map(|id| (n, id)));
                 *harness = restarted;
             }
         }
         for (n, harness) in fleet.iter_mut().enumerate() {
-            let till = now.saturating_sub(harness.now);
-            sent.extend(attempted_ids(&harness.wait(till)).into_iter().map(|id| (n, id)));
+            let elapsed = now.saturating_sub(harness.now);
+            sent.extend(attempted_ids(&harness.wait(elapsed)).into_iter().map(|id| (n, id)));
         }
         while next <= now {
             let n = (random.next() * f64::from(case.senders)) as usize;
@@ -141,9 +143,9 @@
             );
             next += (-(1.0 - random.next()).ln() / (case.capacity() * 0.8) * S as f64) as u64;
         }
-        out.sort_by_key(|o| o.0);
-        while out.first().is_some_and(|o| o.0 <= now) {
-            let (_, n, id, outcome) = out.remove(0);
+        in_flight.sort_by_key(|call| call.0);
+        while in_flight.first().is_some_and(|call| call.0 <= now) {
+            let (_, n, id, outcome) = in_flight.remove(0);
             if outcome == Outcome::Ok {
                 held.remove(&id);
             }
@@ -154,20 +156,20 @@
             if let Some(h) = held.get_mut(&id) {
                 h.attempts += 1;
             }
-            let is_out = (down..back).contains(&now);
-            if now >= back {
+            let during_outage = (outage_start..outage_end).contains(&now);
+            if now >= outage_end {
                 arrivals.push(now);
             }
             let (after, outcome) =
-                if is_out { (20_000, Outcome::ConnectFailed) } else { (100_000, Outcome::Ok) };
-            out.push((now + after, n, id, outcome));
+                if during_outage { (20_000, Outcome::ConnectFailed) } else { (100_000, Outcome::Ok) };
+            in_flight.push((now + after, n, id, outcome));
         }
     }
     let span = (SPAN_S * 1e6) as u64;
     let worst = (0..arrivals.len()).map(|last| {
         let at = arrivals[last];
         let calls = arrivals[..=last].iter().rev().take_while(|a| **a + span > at).count() as f64;
-        let warm = ((at - back) as f64 / 1e6 / COLD_S).min(1.0);
+        let warm = ((at - outage_end) as f64 / 1e6 / COLD_S).min(1.0);
         let n = OVERLOAD_FACTOR * case.capacity() * SPAN_S * (COLD_SHARE + (1.0 - COLD_SHARE) * warm);
         calls / budget(n)
     });
