--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -101,6 +101,14 @@
     }
 }
 
+/// Returns the name of a connection state as the figures write it.
+fn state_name(state: ConnState) -> String {
+    match serde_json::to_value(state) {
+        Ok(serde_json::Value::String(name)) => name,
+        _ => format!("{state:?}"),
+    }
+}
+
 fn status_text(status: &StatusShape) -> String {
     let up = Duration::from_millis(status.now_ms.saturating_sub(status.started_ms) / 1000 * 1000);
     let mut out = format!(
@@ -115,7 +123,7 @@
     );
     for (name, tally) in &status.clients {
         let words = |map: &BTreeMap<ConnState, u64>| {
-            let named = map.iter().map(|(standing, n)| format!("{n} {standing:?}").to_lowercase());
+            let named = map.iter().map(|(state, n)| format!("{n} {}", state_name(*state)));
             named.collect::<Vec<_>>().join(", ")
         };
         let open: u64 = tally.open.values().sum();
--- a/tests/crowds.rs
+++ b/tests/crowds.rs
@@ -353,3 +353,22 @@
     crowd.into_iter().for_each(|c| c.join().unwrap());
     until("deliveries", || ids.iter().all(|id| env.endpoint.count(id) >= 1));
 }
+
+/// Guards against a `status` command that names the states of connections differently from the figures.
+#[test]
+fn the_status_command_names_connection_states_as_the_figures_do() {
+    let env = environment(SOCKETS, 64);
+    let channel = env.folder.write("channel.json", r#"{"enabled": true, "socket": "control.sock"}"#);
+    let (_program, addr) = env.start();
+    let _silent = connect(addr);
+    let (mut once, mut steady) = (connect(addr), connect(addr));
+    assert_eq!(submit(&mut once, "a"), Response::Status(202));
+    assert_eq!(submit(&mut steady, "b"), Response::Status(202));
+    assert_eq!(submit(&mut steady, "c"), Response::Status(202));
+    let status = || {
+        let mut command = Command::new(env!("CARGO_BIN_EXE_indigohold"));
+        let output = command.args(["status", "--channel"]).arg(&channel).output().unwrap();
+        String::from_utf8(output.stdout).unwrap()
+    };
+    until("the states of three connections", || status().contains(" held (1 silent, 1 once, 1 steady); "));
+}
