--- a/src/upgrade/mod.rs
+++ b/src/upgrade/mod.rs
@@ -99,7 +99,7 @@
         })
     });
     if let Err(e) = started {
-        tracing::info!(target: "upgrade", "this process can't hand over to a new version: {e}");
+        tracing::info!(target: "upgrade", "no new version can take over from this process: {e}");
     }
 }
 
@@ -277,12 +277,12 @@
                 return Ok((owner, Some(inherited)));
             }
             Ok(None) => {}
-            Err(reason) => return Err(format!("{owned}, and the handover failed: {reason}")),
+            Err(reason) => return Err(format!("{owned}, and hands nothing over: {reason}")),
         }
         if Instant::now() >= give_up_at {
             phase.handle(NewEvent::TimedOut);
             let error = errors.pop().unwrap_or_else(|| "it does not answer".to_owned());
-            return Err(format!("{owned}, and the handover failed: {error}"));
+            return Err(format!("{owned}, and hands nothing over: {error}"));
         }
         std::thread::sleep(RETRY_INTERVAL);
     }
