--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -128,7 +128,7 @@
             "the old process accepts no clients any more"
         );
         program.signal("TERM");
-        program.line_with("owed, 0 of them out");
+        program.line_with("owed, 0 of them being sent");
         completed += 0;
         next.line_with("the process before has ended lost=0");
         assert!(program.child.wait().unwrap().success());
