--- a/src/net/platform/discovery.rs
+++ b/src/net/platform/discovery.rs
@@ -41,9 +41,9 @@
 /// the agent knows counts as notified from the first moment on. So there a watch is opened at the start and whenever none is
 /// open.
 pub fn run_watch_worker(platform: &Platform, orders: &Receiver<()>) {
-    let (clock, pushed) = (&platform.courier.clock, platform.names.pushed);
+    let (clock, pushed) = (&platform.courier.clock, platform.settings.pushed);
     let (mut backoff, mut silence_retry) =
-        (ReconnectBackoff::default(), SilenceRetry::new(platform.names.couriers));
+        (ReconnectBackoff::default(), SilenceRetry::new(platform.settings.couriers));
     while pushed || orders.recv().is_ok() {
         let mut opened;
         loop {
@@ -94,7 +94,7 @@
 /// Sends a request to discovery. Returns the connection and the deadline for the response.
 fn send_request(platform: &Platform, query: &str) -> io::Result<(Arc<TcpStream>, ResponseDeadline)> {
     let clock = &platform.courier.clock;
-    let deadline = ResponseDeadline::start(clock.now(), platform.names.pushed);
+    let deadline = ResponseDeadline::start(clock.now(), platform.settings.pushed);
     let until = clock.instant(deadline.expires_at());
     let stream = platform.discovery.connect(until)?;
     let host = stream.peer_addr()?;
@@ -196,7 +196,7 @@
         // response.
         while let Err(e) = read_full_list(platform) {
             let may_retry =
-                platform.discovery.is_only_address() && !platform.names.pushed && errors::is_timeout(&e);
+                platform.discovery.is_only_address() && !platform.settings.pushed && errors::is_timeout(&e);
             let Some(span) = silence_retry.retry_within(errors::is_timeout(&e)).filter(|_| may_retry) else {
                 return Err(e);
             };
--- a/src/net/platform/fetch.rs
+++ b/src/net/platform/fetch.rs
@@ -114,7 +114,7 @@
         return Ok((stream, true));
     }
     let clock = &platform.courier.clock;
-    let connect_by = until.min(clock.instant(clock.now() + platform.names.connect));
+    let connect_by = until.min(clock.instant(clock.now() + platform.settings.connect));
     match platform.acceptor.connect(fetch.backend.addr, connect_by) {
         Ok(stream) => Ok((Arc::new(stream), false)),
         // A resource that this process lacks is no evidence about the endpoint and costs the message no attempt.
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -51,8 +51,8 @@
 pub struct Platform {
     /// The core.
     pub courier: Arc<Courier>,
-    /// Names that are used on the wire, and other settings of the network code.
-    pub names: NetworkSettings,
+    /// Settings of the network code, among them the names that are used on the wire.
+    pub settings: NetworkSettings,
     /// Names of kinds and zones in discovery's lists.
     pub kind_and_zone_names: KindAndZoneNames,
     /// Whether any kind of destination accepts several messages in one call.
@@ -73,10 +73,10 @@
 
 /// Starts the threads of the frontend, except the listener's.
 pub fn start(
-    courier: &Arc<Courier>, limits: ProcessLimits, names: NetworkSettings, slots: usize,
+    courier: &Arc<Courier>, limits: ProcessLimits, settings: NetworkSettings, slots: usize,
     discovery_addrs: AddressRotation, poll_interval: Micros, admission: &FrontAdmission,
 ) -> io::Result<(Arc<Platform>, Frontend)> {
-    let keep = Duration::from_secs_f64(names.conn_idle.secs() * IDLE_KEEP_FRACTION);
+    let keep = Duration::from_secs_f64(settings.conn_idle.secs() * IDLE_KEEP_FRACTION);
     let max_idle = limits.descriptors / 8;
     let conns = Arc::new(FetchConnections::new(keep, max_idle, b""));
     // Hundreds of clients may send one request and keep the connection open for their 2 s, so sessions get every descriptor
@@ -88,9 +88,9 @@
     let acceptor = AcceptorHandle::new();
     let platform = Arc::new(Platform {
         courier: courier.clone(),
-        kind_and_zone_names: names.places(),
-        batches: names.batches,
-        names,
+        kind_and_zone_names: settings.places(),
+        batches: settings.batches,
+        settings,
         poll_interval,
         pool: BufferPool::new(POOLED_BUFFERS),
         conns: conns.clone(),
@@ -114,7 +114,7 @@
     spawn("read-list", move || discovery::run_read_worker(&shared, &read_orders))?;
     let (watch, read_list) = (Some(watch), Some(read_list));
     let mut probes = None;
-    if platform.names.probing {
+    if platform.settings.probing {
         let (sender, probe_orders) = bounded(probe::QUEUE_CAPACITY);
         for _ in 0..probe::THREADS {
             let (platform, orders) = (platform.clone(), probe_orders.clone());
--- a/src/net/platform/probe.rs
+++ b/src/net/platform/probe.rs
@@ -51,7 +51,7 @@
 }
 
 fn send_probe(platform: &Platform, probe: &Probe) -> ProbeResult {
-    let until = platform.courier.clock.instant(probe.ordered_at + platform.names.connect);
+    let until = platform.courier.clock.instant(probe.ordered_at + platform.settings.connect);
     // Behind probes of endpoints that hang, this one may have waited until its timeout; its outcome is no longer needed.
     if Instant::now() >= until {
         return ProbeResult::without_response(Outcome::NotSent, None);
@@ -112,7 +112,7 @@
 ) -> Result<(ResponseHead, bool), Outcome> {
     let mut filled = 0;
     let head = loop {
-        match http::parse_response(&buf[..filled], &platform.names.load) {
+        match http::parse_response(&buf[..filled], &platform.settings.load) {
             Ok(Some(head)) if head.status >= 200 => break head,
             Ok(None) => {}
             // An interim response is an error: a request without a body asks for none.
--- a/src/net/platform/response.rs
+++ b/src/net/platform/response.rs
@@ -59,7 +59,7 @@
     if !may_demand_wait {
         return false;
     }
-    let Ok(Some(head)) = http::parse_response(bytes, &platform.names.load) else { return false };
+    let Ok(Some(head)) = http::parse_response(bytes, &platform.settings.load) else { return false };
     // A response to a batch may demand a wait although it delivered some messages.
     let Some(wait) = head.retry_after.filter(|_| matches!(head.status, 200 | 429) || !head.over_slots) else {
         return false;
@@ -117,7 +117,7 @@
     // Deadline for the rest, set once a part of a response has arrived.
     let mut rest_until: Option<Instant> = None;
     let head = loop {
-        match http::parse_response(&buf[..filled], &platform.names.load) {
+        match http::parse_response(&buf[..filled], &platform.settings.load) {
             Ok(Some(head)) if head.status < 200 && interim < MAX_INTERIM_RESPONSES => {
                 interim += 1;
                 buf.copy_within(head.head_len..filled, 0);
--- a/src/net/platform/session.rs
+++ b/src/net/platform/session.rs
@@ -244,16 +244,16 @@
     }
     let ms =
         head.deadline_ms.filter(|ms| *ms <= MAX_DEADLINE_MS).ok_or("Req-Deadline-Ms: missing or too long")?;
-    let tenant = if platform.names.tenants.is_empty() {
+    let tenant = if platform.settings.tenants.is_empty() {
         Some(0)
     } else {
-        position(&platform.names.tenants, &head.tenant)
+        position(&platform.settings.tenants, &head.tenant)
     };
     Ok(Req {
         id,
         front: FRONT,
         dest: head.dest.ok_or("X-Addressing: missing or malformed")?,
-        class: position(&platform.names.classes, &head.class).ok_or("Req-Kind: no such class")?,
+        class: position(&platform.settings.classes, &head.class).ok_or("Req-Kind: no such class")?,
         tenant: tenant.ok_or("Req-Owner: no such tenant")?,
         due: platform.courier.clock.now() + Micros(ms * 1000) - skew.min(Micros(ms * 250)),
         head: key,
