--- a/src/admission/config.rs
+++ b/src/admission/config.rs
@@ -7,7 +7,7 @@
 use std::io::ErrorKind;
 use std::path::Path;
 
-/// Defaults of the platform front. A client of the platform sends its request as soon as it is connected and waits 400 ms
+/// Defaults of the platform frontend. A client of the platform sends its request as soon as it is connected and waits 400 ms
 /// for the answer. It may close a session and open another at any time, and a silent one must be closed within 3 s.
 const PLATFORM: Rules = Rules {
     max_connections: usize::MAX,
@@ -21,7 +21,7 @@
     idle_timeout: Micros(30_000_000),
     max_source_share: 0.5,
 };
-/// Defaults of the mail front. SMTP clients may take minutes for a command (RFC 5321, section 4.5.3.2), but not while
+/// Defaults of the mail frontend. SMTP clients may take minutes for a command (RFC 5321, section 4.5.3.2), but not while
 /// others wait for a place. The number of connections is small because each may hold a message in memory.
 const MAIL: Rules = Rules {
     max_connections: 64,
@@ -36,9 +36,9 @@
     max_source_share: 0.5,
 };
 
-/// Settings of the listeners of one front.
+/// Settings of the listeners of one frontend.
 #[derive(Debug, Clone, PartialEq)]
-pub struct FrontAdmission {
+pub struct FrontendAdmission {
     rules: Rules,
     /// The share of the places that idle connections may not keep.
     reserve_share: f64,
@@ -46,7 +46,7 @@
     pub backlog: i32,
 }
 
-impl FrontAdmission {
+impl FrontendAdmission {
     /// The rules where descriptors and memory allow this many connections.
     pub fn rules(&self, affordable: usize) -> Rules {
         let max_connections = affordable.min(self.rules.max_connections).max(1);
@@ -58,17 +58,17 @@
 /// Content of the file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AdmissionConfig {
-    /// Settings of the platform front.
-    pub platform: FrontAdmission,
-    /// Settings of each listener of the mail front.
-    pub mail: FrontAdmission,
+    /// Settings of the platform frontend.
+    pub platform: FrontendAdmission,
+    /// Settings of each listener of the mail frontend.
+    pub mail: FrontendAdmission,
 }
 
 impl Default for AdmissionConfig {
     fn default() -> AdmissionConfig {
         AdmissionConfig {
-            platform: FrontAdmission { rules: PLATFORM, reserve_share: 1.0 / 16.0, backlog: 1_024 },
-            mail: FrontAdmission { rules: MAIL, reserve_share: 0.0, backlog: 1_024 },
+            platform: FrontendAdmission { rules: PLATFORM, reserve_share: 1.0 / 16.0, backlog: 1_024 },
+            mail: FrontendAdmission { rules: MAIL, reserve_share: 0.0, backlog: 1_024 },
         }
     }
 }
@@ -88,20 +88,22 @@
         let defaults = AdmissionConfig::default();
         AdmissionConfig {
             platform: doc
-                .object("platform", |front| read_front(front, &defaults.platform))
+                .object("platform", |frontend| read_frontend(frontend, &defaults.platform))
                 .unwrap_or(defaults.platform),
-            mail: doc.object("mail", |front| read_front(front, &defaults.mail)).unwrap_or(defaults.mail),
+            mail: doc
+                .object("mail", |frontend| read_frontend(frontend, &defaults.mail))
+                .unwrap_or(defaults.mail),
         }
     })
 }
 
-fn read_front(doc: &ObjectReader, defaults: &FrontAdmission) -> FrontAdmission {
+fn read_frontend(doc: &ObjectReader, defaults: &FrontendAdmission) -> FrontendAdmission {
     let ms = |name: &str, default: Micros, max: f64| {
         Micros::from_secs(doc.number(name, default.0 as f64 / 1e3, 0.0..=max) / 1e3)
     };
     let hour_ms = 3.6e6;
     let places = doc.whole("places", 0, 0..=1 << 20) as usize;
-    let front = FrontAdmission {
+    let frontend = FrontendAdmission {
         rules: Rules {
             max_connections: if places == 0 { defaults.rules.max_connections } else { places },
             reserve: 0,
@@ -118,9 +120,9 @@
         backlog: doc.whole("backlog", defaults.backlog as u64, 1..=65_535) as i32,
     };
     for (name, timeout, grace) in [
-        ("silent_most_ms", front.rules.silent_timeout, front.rules.silent_grace),
-        ("whole_most_ms", front.rules.request_timeout, front.rules.request_grace),
-        ("idle_most_ms", front.rules.idle_timeout, front.rules.idle_grace),
+        ("silent_most_ms", frontend.rules.silent_timeout, frontend.rules.silent_grace),
+        ("whole_most_ms", frontend.rules.request_timeout, frontend.rules.request_grace),
+        ("idle_most_ms", frontend.rules.idle_timeout, frontend.rules.idle_grace),
     ] {
         if timeout < grace {
             doc.fault(
@@ -129,7 +131,7 @@
             );
         }
     }
-    front
+    frontend
 }
 
 #[cfg(test)]
--- a/src/admission/mod.rs
+++ b/src/admission/mod.rs
@@ -5,7 +5,7 @@
 //! A place is a file descriptor. Connections are distinguished by their [`ConnState`] and by their [`Source`], and by
 //! nothing else:
 //!
-//! | state | meaning | can be evicted |
+//! | state, by its name in status reports | meaning | can be evicted |
 //! | --- | --- | --- |
 //! | silent | connected, no byte received | after `silent_grace`; after `urgent_grace` if there is no other candidate |
 //! | asking | part of a request was received | after `request_grace`; after `urgent_grace` without a byte if there is no other candidate |
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -88,30 +88,30 @@
         None => None,
     };
     let upgradable = admin_addr.is_some() || inherited.is_some();
-    let zones = mail_config.as_ref().map_or(0, |m| mail::dns::server::room(m.zones.len()));
-    let disk = (config.disk_mb * 1e6) as u64;
+    let zone_bytes = mail_config.as_ref().map_or(0, |m| mail::dns::server::room(m.zones.len()));
+    let disk_bytes = (config.disk_mb * 1e6) as u64;
     let copy_rules = KeptCopyRules {
-        disk_bytes: register.kept_copy.disk_bytes.min(disk / KEPT_COPY_DISK_DIVISOR),
+        disk_bytes: register.kept_copy.disk_bytes.min(disk_bytes / KEPT_COPY_DISK_DIVISOR),
         ..register.kept_copy.clone()
     };
-    let for_copy = if copy_rules.enabled && config.listen.is_some() { copy_rules.disk_bytes } else { 0 };
-    let for_drains = if control.is_some() { draining::RESERVED_DISK_BYTES } else { 0 };
+    let copy_bytes = if copy_rules.enabled && config.listen.is_some() { copy_rules.disk_bytes } else { 0 };
+    let drain_bytes = if control.is_some() { draining::RESERVED_DISK_BYTES } else { 0 };
     let state_error = |e: &dyn std::fmt::Display| format!("NODE_STATE: {}: {e}", state.display());
-    let for_overrides = if admin_addr.is_some() { admin_overrides::MAX_DISK_BYTES } else { 0 };
-    let for_history = history.as_ref().map_or(0, |h| h.disk);
-    let others = zones
-        + for_copy
-        + for_drains
-        + for_overrides
+    let override_bytes = if admin_addr.is_some() { admin_overrides::MAX_DISK_BYTES } else { 0 };
+    let history_bytes = history.as_ref().map_or(0, |h| h.disk);
+    let other_bytes = zone_bytes
+        + copy_bytes
+        + drain_bytes
+        + override_bytes
         + owner::OWNER_FILE_DISK_BYTES
         + memory::MAX_FOLDER_BYTES
         + anchor::DISK_BYTES;
-    let room = disk.saturating_sub(others + for_history);
-    if for_history > 0 && room < MIN_JOURNAL_BYTES {
+    let journal_bytes = disk_bytes.saturating_sub(other_bytes + history_bytes);
+    if history_bytes > 0 && journal_bytes < MIN_JOURNAL_BYTES {
         return Err(format!(
             "{}: disk_kb: {} KiB of {} MB leave the journal less than {} KB",
             paths.history.display(),
-            for_history / 1_024,
+            history_bytes / 1_024,
             config.disk_mb,
             MIN_JOURNAL_BYTES / 1_000
         ));
@@ -128,7 +128,7 @@
         (sessions, call_ends) = (taken.connections, Some(taken.call_ends));
     }
     let start_mode = if taken_over { StartMode::Handover } else { StartMode::Restart };
-    let journal = Journal::open_as(&state, room, clock.now(), owner.claim.incarnation, start_mode)
+    let journal = Journal::open_as(&state, journal_bytes, clock.now(), owner.claim.incarnation, start_mode)
         .map_err(|e| state_error(&e))?;
     log_damages(&journal);
     // If the claim file was damaged, the journal has the right incarnation.
@@ -175,20 +175,20 @@
         let report = |update: ListUpdate| {
             courier.report(Report::List { front: platform::FRONT, update });
         };
-        let read = ParsedList { list: known_list, unreadable: Vec::new() };
+        let list = ParsedList { list: known_list, unreadable: Vec::new() };
         // The list in the configuration counts as a full list even if it is marked otherwise.
-        report(ListUpdate { is_full_list: true, ..read.into_update(Source::Configured, &places, now) });
+        report(ListUpdate { is_full_list: true, ..list.into_update(Source::Configured, &places, now) });
         if copy_rules.enabled {
             let (copy, warnings) = kept_copy::read(&state);
             warnings.iter().for_each(|warning| tracing::warn!(target: "register", "{warning}"));
             if let Some(copy) = copy {
                 // The age of a copy with a time in the future is unknown, so it gets the greatest age that is still trusted.
                 let from_future = copy.confirmed_at() > now;
-                let as_of = if from_future { now - register.rules.max_copy_age } else { copy.confirmed_at() };
-                let read = ParsedList { list: copy.list, unreadable: Vec::new() };
+                let time = if from_future { now - register.rules.max_copy_age } else { copy.confirmed_at() };
+                let list = ParsedList { list: copy.list, unreadable: Vec::new() };
                 report(ListUpdate {
                     is_full_list: true,
-                    ..read.into_update(Source::KeptCopy, &places, as_of)
+                    ..list.into_update(Source::KeptCopy, &places, time)
                 });
             }
             copy_writer = Some(KeptCopyWriter::new(&state, copy_rules, places.clone()));
@@ -380,13 +380,13 @@
             // After an error it is tried again in the next round.
             let _ = anchor.write();
             if let Some(writer) = &mut copy_writer {
-                let others = zones
-                    + for_drains
-                    + for_overrides
+                let other_bytes = zone_bytes
+                    + drain_bytes
+                    + override_bytes
                     + memory::MAX_FOLDER_BYTES
                     + anchor::DISK_BYTES
-                    + for_history;
-                keep_list(&courier, writer, disk.saturating_sub(others));
+                    + history_bytes;
+                keep_list(&courier, writer, disk_bytes.saturating_sub(other_bytes));
             }
             if let Some(update) = static_file
                 .as_mut()
--- a/src/net/mail/mod.rs
+++ b/src/net/mail/mod.rs
@@ -13,7 +13,7 @@
 use super::conn::FetchConnections;
 use super::pool::{BufferPool, BUFFER_BYTES};
 use super::{spawn, Frontend};
-use crate::admission::config::FrontAdmission;
+use crate::admission::config::FrontendAdmission;
 use crate::core::{Courier, EndpointRecord, EndpointState, ListUpdate, Report, Source};
 use config::MailConfig;
 use crossbeam_channel::unbounded;
@@ -46,7 +46,7 @@
     pub conns: Arc<FetchConnections>,
     /// Client sessions.
     pub door: AcceptorHandle,
-    admission: FrontAdmission,
+    admission: FrontendAdmission,
     zones: OnceLock<Zones>,
 }
 
@@ -59,7 +59,7 @@
 
 /// Starts the front, all but its listeners.
 pub fn start(
-    courier: &Arc<Courier>, config: MailConfig, slots: usize, state: &Path, admission: FrontAdmission,
+    courier: &Arc<Courier>, config: MailConfig, slots: usize, state: &Path, admission: FrontendAdmission,
 ) -> Result<(Arc<Mail>, Frontend), String> {
     let conns = Arc::new(FetchConnections::new(KEEP, 64, b"QUIT\r\n"));
     let mail = Arc::new(Mail {
--- a/src/net/platform/mod.rs
+++ b/src/net/platform/mod.rs
@@ -15,7 +15,7 @@
 use super::conn::FetchConnections;
 use super::pool::{BufferPool, BUFFER_BYTES};
 use super::{spawn, Frontend};
-use crate::admission::config::FrontAdmission;
+use crate::admission::config::FrontendAdmission;
 use crate::admission::Rules;
 use crate::api::Micros;
 use crate::config::ProcessLimits;
@@ -74,7 +74,7 @@
 /// Starts the threads of the frontend, except the listener's.
 pub fn start(
     courier: &Arc<Courier>, limits: ProcessLimits, settings: NetworkSettings, slots: usize,
-    discovery_addrs: AddressRotation, poll_interval: Micros, admission: &FrontAdmission,
+    discovery_addrs: AddressRotation, poll_interval: Micros, admission: &FrontendAdmission,
 ) -> io::Result<(Arc<Platform>, Frontend)> {
     let keep = Duration::from_secs_f64(settings.conn_idle.secs() * IDLE_KEEP_FRACTION);
     let max_idle = limits.descriptors / 8;
