--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -184,11 +184,11 @@
             if let Some(copy) = copy {
                 // The age of a copy with a time in the future is unknown, so it gets the greatest age that is still trusted.
                 let from_future = copy.confirmed_at() > now;
-                let time = if from_future { now - register.rules.max_copy_age } else { copy.confirmed_at() };
+                let as_of = if from_future { now - register.rules.max_copy_age } else { copy.confirmed_at() };
                 let list = ParsedList { list: copy.list, unreadable: Vec::new() };
                 report(ListUpdate {
                     is_full_list: true,
-                    ..list.into_update(Source::KeptCopy, &places, time)
+                    ..list.into_update(Source::KeptCopy, &places, as_of)
                 });
             }
             copy_writer = Some(KeptCopyWriter::new(&state, copy_rules, places.clone()));
