--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -4,7 +4,7 @@
 use super::Socket;
 use crate::admin::{client, AdminCommand};
 use crate::config::Paths;
-use crate::control::client::{Client, Failed};
+use crate::control::client::{Client, ClientError};
 use crate::control::config as control;
 use crate::net::ask::shape::{kind, plain, AnswerShape, MissingShape, PartShape};
 use comfy_table::{presets, Table};
@@ -33,7 +33,7 @@
     let subject = subject.join(" ");
     let said = match &socket.socket {
         Some(socket) => Client::new(socket).ask(first, &subject).map_err(|failed| match failed {
-            Failed::Problem(problem) => (REFUSED, format!("{}: {}", problem.title, problem.detail)),
+            ClientError::Problem(problem) => (REFUSED, format!("{}: {}", problem.title, problem.detail)),
             failed => (UNREACHED, failed.to_string()),
         }),
         None if paths.config.is_none() && paths.control.is_none() => channel(paths, first, &subject),
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -2,9 +2,9 @@
 
 use super::{Drain, Socket};
 use crate::admission::ConnState;
-use crate::control::client::{Client, Failed};
+use crate::control::client::{Client, ClientError};
 use crate::control::config as control;
-use crate::control::shape::{DrainShape, Problem, ScopeShape, StatusShape, WishShape};
+use crate::control::schema::{DrainScope, DrainStatus, InstanceStatus, NewDrain, Problem};
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::{IsTerminal, Write as _};
@@ -36,20 +36,16 @@
     };
     let done = match what {
         Drain::Start { by, reason, elsewhere, front, dest, class, tenant, wait, json } => {
-            let scope = ScopeShape {
+            let scope = DrainScope {
                 front: front.clone(),
                 dest: *dest,
                 class: class.clone(),
                 tenant: tenant.clone(),
             };
             let wish = match moment(by) {
-                Ok((by_ms, within_ms)) => WishShape {
-                    scope,
-                    by_ms,
-                    within_ms,
-                    reason: reason.clone(),
-                    elsewhere: elsewhere.clone(),
-                },
+                Ok((by_ms, within_ms)) => {
+                    NewDrain { scope, by_ms, within_ms, reason: reason.clone(), elsewhere: elsewhere.clone() }
+                }
                 Err(e) => {
                     eprintln!("--by: {e}");
                     return REFUSED;
@@ -109,7 +105,7 @@
     }
 }
 
-fn status_text(status: &StatusShape) -> String {
+fn status_text(status: &InstanceStatus) -> String {
     let up = Duration::from_millis(status.now_ms.saturating_sub(status.started_ms) / 1000 * 1000);
     let mut out = format!(
         "indigohold {}, process {}, up {}{}\nregister: {}, {} backends known\nowed: {} messages\n",
@@ -146,13 +142,13 @@
     out + &status.shared.as_ref().map(super::fleet::text).unwrap_or_default()
 }
 
-pub(super) fn failed(e: &Failed) -> u8 {
+pub(super) fn failed(e: &ClientError) -> u8 {
     eprintln!("{e}");
     match e {
-        Failed::Unreached(_) => UNREACHED,
-        Failed::Problem(p) if p.word() == "struck" => GIVEN_UP,
-        Failed::Problem(p) if p.word() == "cancelled" => CANCELLED,
-        Failed::Problem(_) => REFUSED,
+        ClientError::Unreachable(_) => UNREACHED,
+        ClientError::Problem(p) if p.short_kind() == "struck" => GIVEN_UP,
+        ClientError::Problem(p) if p.short_kind() == "cancelled" => CANCELLED,
+        ClientError::Problem(_) => REFUSED,
     }
 }
 
@@ -182,7 +178,7 @@
     Ok((Some(since.as_millis() as u64), None))
 }
 
-fn all(client: &mut Client, id: Option<u64>) -> Result<Vec<DrainShape>, Failed> {
+fn all(client: &mut Client, id: Option<u64>) -> Result<Vec<DrainStatus>, ClientError> {
     match id {
         Some(id) => client.drain(id).map(|drain| vec![drain]),
         None => client.drains(),
@@ -190,19 +186,19 @@
 }
 
 /// The drain that is meant where none is named: the only one that is on.
-fn one(client: &mut Client, id: Option<u64>) -> Result<u64, Failed> {
+fn one(client: &mut Client, id: Option<u64>) -> Result<u64, ClientError> {
     if let Some(id) = id {
         return Ok(id);
     }
     let on: Vec<u64> = client.drains()?.iter().filter(|d| d.is_on()).map(|d| d.id).collect();
     match on[..] {
         [id] => Ok(id),
-        [] => Err(Failed::Problem(Problem::new("unknown", 404, "no drain is on", ""))),
-        _ => Err(Failed::Problem(Problem::new("which", 409, "several drains are on; name one", ""))),
+        [] => Err(ClientError::Problem(Problem::new("unknown", 404, "no drain is on", ""))),
+        _ => Err(ClientError::Problem(Problem::new("which", 409, "several drains are on; name one", ""))),
     }
 }
 
-fn show(drains: &[DrainShape], json: bool) {
+fn show(drains: &[DrainStatus], json: bool) {
     if json {
         println!("{}", serde_json::to_string_pretty(drains).unwrap_or_default());
         return;
@@ -224,7 +220,7 @@
 }
 
 /// One line of how far a drain is.
-fn line(drain: &DrainShape) -> String {
+fn line(drain: &DrainStatus) -> String {
     let mut out = format!("drain {} {}: {} of {} left", drain.id, drain.state, drain.total(), drain.at_start);
     let scope = &drain.scope;
     let parts = [
@@ -261,7 +257,7 @@
 }
 
 /// Watches a drain to its end: a bar on a terminal, else a line whenever something has changed.
-fn watch(client: &mut Client, id: u64, every: Duration) -> Result<u8, Failed> {
+fn watch(client: &mut Client, id: u64, every: Duration) -> Result<u8, ClientError> {
     let bar = std::io::stdout().is_terminal().then(|| {
         let bar = indicatif::ProgressBar::new(0);
         let style = indicatif::ProgressStyle::with_template("{bar:30} {pos}/{len} {msg}");
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -3,8 +3,8 @@
 use super::drain::{client, failed};
 use super::retention::{moment, time};
 use super::{Replay, Socket, Want};
-use crate::control::client::{Client, Failed};
-use crate::control::replay::{FleetShape, PartShape, WantShape};
+use crate::control::client::{Client, ClientError};
+use crate::control::replay::{FleetReplay, ReplayPart, ReplayRequest};
 use std::fmt::Write as _;
 use std::path::Path;
 use std::thread;
@@ -54,19 +54,19 @@
     done.map_or_else(|e| failed(&e), |fleet| by_all(&[fleet]))
 }
 
-fn by_all(fleets: &[FleetShape]) -> u8 {
+fn by_all(fleets: &[FleetReplay]) -> u8 {
     match fleets.iter().all(|f| f.unanswered.is_empty() && f.missing.is_empty()) {
         true => DONE,
         false => NOT_BY_ALL,
     }
 }
 
-fn one(client: &mut Client, id: &str) -> Result<FleetShape, Failed> {
+fn one(client: &mut Client, id: &str) -> Result<FleetReplay, ClientError> {
     client.replay_fleet(id)
 }
 
 /// Waits for the others' parts, for a while.
-fn plan(client: &mut Client, want: &WantShape) -> Result<FleetShape, Failed> {
+fn plan(client: &mut Client, want: &ReplayRequest) -> Result<FleetReplay, ClientError> {
     let here = client.replay_plan(want)?;
     let until = Instant::now() + PLANS;
     let fleet = loop {
@@ -102,8 +102,8 @@
     by_all(&all)
 }
 
-fn shape(want: &Want) -> Result<WantShape, String> {
-    Ok(WantShape {
+fn shape(want: &Want) -> Result<ReplayRequest, String> {
+    Ok(ReplayRequest {
         tenant: want.tenant.clone(),
         destination: want.destination,
         since_ms: moment(&want.since).map_err(|e| format!("--since: {e}"))?,
@@ -113,8 +113,8 @@
     })
 }
 
-fn text(fleet: &FleetShape) -> String {
-    let sum = |of: fn(&PartShape) -> u64| fleet.parts.values().map(of).sum::<u64>();
+fn text(fleet: &FleetReplay) -> String {
+    let sum = |of: fn(&ReplayPart) -> u64| fleet.parts.values().map(of).sum::<u64>();
     let state = match (fleet.go, fleet.stopped) {
         (_, true) => "to stop",
         (true, _) => "to be run",
@@ -147,7 +147,7 @@
     out
 }
 
-fn line(part: &PartShape) -> String {
+fn line(part: &ReplayPart) -> String {
     let mut out = format!(
         "{}: {} to go, {} taken, {} not taken, {} passed by",
         part.state, part.left, part.taken, part.refused, part.passed
--- a/src/cli/retention.rs
+++ b/src/cli/retention.rs
@@ -2,7 +2,7 @@
 
 use super::drain::{client, failed};
 use super::{Retention, Socket, Whose};
-use crate::control::retention::{OrderShape, RetentionShape, WhoseShape};
+use crate::control::retention::{RetentionOrder, RetentionScope, RetentionStatus};
 use std::fmt::Write as _;
 use std::path::Path;
 use std::time::{Duration, UNIX_EPOCH};
@@ -56,8 +56,8 @@
     }
 }
 
-fn order(what: &Retention) -> Result<Option<OrderShape>, String> {
-    let shape = |w: &Whose| WhoseShape {
+fn order(what: &Retention) -> Result<Option<RetentionOrder>, String> {
+    let shape = |w: &Whose| RetentionScope {
         tenant: w.tenant.clone(),
         class: w.class.clone(),
         destination: w.destination,
@@ -67,12 +67,14 @@
         Retention::Set { whose, keep, replays } => {
             let keep = humantime::parse_duration(keep).map_err(|e| format!("--keep: {e}"))?;
             let keep_s = u32::try_from(keep.as_secs()).map_err(|_| "--keep: longer than 8.5 years")?;
-            Some(OrderShape::Set { whose: shape(whose), keep_s, replays: replays.unwrap_or(0) })
+            Some(RetentionOrder::Set { whose: shape(whose), keep_s, replays: replays.unwrap_or(0) })
+        }
+        Retention::Hold { whose, release } => {
+            Some(RetentionOrder::Hold { whose: shape(whose), on: !release })
         }
-        Retention::Hold { whose, release } => Some(OrderShape::Hold { whose: shape(whose), on: !release }),
         Retention::Forget { whose, until, despite_hold } => {
             let until_ms = until.as_deref().map(moment).transpose().map_err(|e| format!("--until: {e}"))?;
-            Some(OrderShape::Forget { whose: shape(whose), until_ms, despite_hold: *despite_hold })
+            Some(RetentionOrder::Forget { whose: shape(whose), until_ms, despite_hold: *despite_hold })
         }
     })
 }
@@ -89,7 +91,7 @@
     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_millis(ms)).to_string()
 }
 
-fn text(shape: &RetentionShape) -> String {
+fn text(shape: &RetentionStatus) -> String {
     let mut out = format!("courier {}: {} messages kept", shape.me, shape.kept);
     let counts = [
         (shape.deleted, "deleted by age or order"),
--- a/src/control/asking.rs
+++ b/src/control/fleet_query.rs
@@ -1,6 +1,6 @@
 //! Questions to the fleet over the control channel.
 
-use super::shape::Problem;
+use super::schema::Problem;
 use crate::api::Micros;
 use crate::core::Clock;
 use crate::net::ask::shape::{kind, AnswerShape};
@@ -14,7 +14,7 @@
 /// A question.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct QuestionShape {
+pub struct FleetQuery {
     /// The word of its kind.
     pub kind: String,
     /// What exactly.
@@ -26,7 +26,7 @@
 pub(super) fn ask(fleet: Option<&Asker>, clock: &Clock, body: &[u8]) -> Result<AnswerShape, Problem> {
     let refuse = |detail: String| Problem::new("question", 422, "the question can't be asked so", detail);
     let fleet = fleet.ok_or_else(|| Problem::new("path", 404, "no such path", "questions are off"))?;
-    let question: QuestionShape = serde_json::from_slice(body).map_err(|e| refuse(e.to_string()))?;
+    let question: FleetQuery = serde_json::from_slice(body).map_err(|e| refuse(e.to_string()))?;
     let kind = kind(&question.kind).ok_or_else(|| refuse(format!("{:?} is no kind", question.kind)))?;
     if question.subject.chars().any(char::is_control) || question.subject.len() > 512 {
         return Err(refuse("the subject is no plain text".into()));
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -3,10 +3,10 @@
 //!
 //! What is asked for is read with the parsers of the platform's front, and every session, size and time is bounded.
 
-pub mod asking;
 pub mod client;
 pub mod config;
+pub mod fleet_query;
 pub mod replay;
 pub mod retention;
+pub mod schema;
 pub mod server;
-pub mod shape;
--- a/src/control/replay.rs
+++ b/src/control/replay.rs
@@ -1,7 +1,7 @@
 //! Sending again over the control channel: what an order would do, running it, how far it is, stopping it.
 
+use super::schema::{Problem, SettingsNames};
 use super::server::value;
-use super::shape::{Problem, Words};
 use crate::api::Micros;
 use crate::core::replay_orders::{ReplayOrderError, ReplayOrderState};
 use crate::core::Courier;
@@ -18,7 +18,7 @@
 /// What is to be sent again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct WantShape {
+pub struct ReplayRequest {
     /// Name of the tenant.
     pub tenant: String,
     /// Number of the destination.
@@ -36,7 +36,7 @@
 
 /// What an order would do at this courier.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PlanShape {
+pub struct ReplayPlan {
     /// Its number.
     pub id: String,
     /// The courier that was asked.
@@ -54,11 +54,11 @@
 
 /// How far an order is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunShape {
+pub struct ReplayRun {
     /// Its number.
     pub id: String,
     /// What it is.
-    pub want: WantShape,
+    pub want: ReplayRequest,
     /// `runs`, `stops`, `stopped` or `done`.
     pub state: String,
     /// Not begun.
@@ -75,7 +75,7 @@
 
 /// One courier's part of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartShape {
+pub struct ReplayPart {
     /// `waits` (it has not heard enough others), `planned`, `runs`, `stops`, `stopped` or `done`.
     pub state: String,
     /// Not ended: to be sent, or under way.
@@ -94,20 +94,20 @@
 
 /// A courier whose part is missing, not forgotten.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct MissingShape {
+pub struct MissingReplayPart {
     /// When the oldest message of the tenant ended that it was last known to hold, in milliseconds since 1970.
     pub oldest_ms: Option<u64>,
     /// What it last said of its part, if it did.
-    pub last: Option<PartShape>,
+    pub last: Option<ReplayPart>,
 }
 
 /// An order over the whole fleet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct FleetShape {
+pub struct FleetReplay {
     /// Its number.
     pub id: String,
     /// What it is. Of a long reason given elsewhere, the beginning.
-    pub want: WantShape,
+    pub want: ReplayRequest,
     /// It is to be run; else it is a plan.
     pub go: bool,
     /// It is to stop.
@@ -117,16 +117,16 @@
     /// The courier that was asked.
     pub me: u64,
     /// By courier that is there.
-    pub parts: BTreeMap<u64, PartShape>,
+    pub parts: BTreeMap<u64, ReplayPart>,
     /// Couriers that are there and have not said anything of it yet.
     pub unanswered: Vec<u64>,
     /// Couriers that are away.
-    pub missing: BTreeMap<u64, MissingShape>,
+    pub missing: BTreeMap<u64, MissingReplayPart>,
 }
 
 /// Answers a call; `parts`: the path behind `/v1/replays`.
 pub fn answer(
-    courier: &Courier, words: &Words, method: &str, parts: &[&str], body: &[u8],
+    courier: &Courier, words: &SettingsNames, method: &str, parts: &[&str], body: &[u8],
 ) -> Result<(u16, serde_json::Value), Problem> {
     let off = || {
         Problem::new("off", 409, "no history is kept here", "it is off, closed, or another process has it")
@@ -142,7 +142,7 @@
             };
             let (me, missing) =
                 courier.with_history(|keeper, now| (keeper.me, away(keeper, now))).ok_or_else(off)?;
-            let shape = PlanShape {
+            let shape = ReplayPlan {
                 id: name(order.id()),
                 me,
                 may: plan.may.len() as u64,
@@ -168,7 +168,7 @@
             value(200, &shape(words, &courier.replay_run(&order).map_err(cant)?))
         }
         ("GET", []) => {
-            let all: Vec<RunShape> =
+            let all: Vec<ReplayRun> =
                 courier.replay_orders().iter().map(|state| shape(words, state)).collect();
             value(200, &all)
         }
@@ -207,9 +207,9 @@
     format!("{id:016x}")
 }
 
-fn order(words: &Words, body: &[u8]) -> Result<Order, Problem> {
+fn order(words: &SettingsNames, body: &[u8]) -> Result<Order, Problem> {
     let refused = |detail: String| Problem::new("order", 422, "the order can't be given as it is", detail);
-    let want: WantShape = serde_json::from_slice(body).map_err(|e| refused(e.to_string()))?;
+    let want: ReplayRequest = serde_json::from_slice(body).map_err(|e| refused(e.to_string()))?;
     let tenant = words.tenants.iter().position(|n| *n == want.tenant);
     let tenant =
         tenant.ok_or_else(|| refused(format!("tenant: {:?} is none of the settings", want.tenant)))?;
@@ -225,9 +225,9 @@
     Ok(Order::new(tenant as u16, want.destination, span, want.lost, &want.reason))
 }
 
-fn wanted(words: &Words, order: &Order) -> WantShape {
-    WantShape {
-        tenant: Words::name(&words.tenants, order.tenant),
+fn wanted(words: &SettingsNames, order: &Order) -> ReplayRequest {
+    ReplayRequest {
+        tenant: SettingsNames::name_of(&words.tenants, order.tenant),
         destination: order.dest,
         since_ms: order.since.0 / 1_000,
         until_ms: order.until.0 / 1_000,
@@ -236,9 +236,9 @@
     }
 }
 
-fn shape(words: &Words, state: &ReplayOrderState) -> RunShape {
+fn shape(words: &SettingsNames, state: &ReplayOrderState) -> ReplayRun {
     let Part { phase, left, taken, refused, passed, .. } = state.part;
-    RunShape {
+    ReplayRun {
         id: name(state.given.order.id()),
         want: wanted(words, &state.given.order),
         state: phase.name().into(),
@@ -250,8 +250,8 @@
     }
 }
 
-fn part(part: &Part, at: Micros) -> PartShape {
-    PartShape {
+fn part(part: &Part, at: Micros) -> ReplayPart {
+    ReplayPart {
         state: part.phase.name().into(),
         left: part.left.into(),
         taken: part.taken.into(),
@@ -262,9 +262,9 @@
     }
 }
 
-fn fleet(words: &Words, state: &ReplayOrderState, keeper: &Keeper, now: Micros) -> FleetShape {
+fn fleet(words: &SettingsNames, state: &ReplayOrderState, keeper: &Keeper, now: Micros) -> FleetReplay {
     let given = &state.given;
-    let mut out = FleetShape {
+    let mut out = FleetReplay {
         id: name(given.order.id()),
         want: wanted(words, &given.order),
         go: given.go,
@@ -285,7 +285,7 @@
             (true, _) => out.unanswered.push(node),
             (false, last) => {
                 let oldest_ms = oldest(keeper, node, given.order.tenant);
-                out.missing.insert(node, MissingShape { oldest_ms, last });
+                out.missing.insert(node, MissingReplayPart { oldest_ms, last });
             }
         }
     }
--- a/src/control/retention.rs
+++ b/src/control/retention.rs
@@ -1,7 +1,7 @@
 //! Retention over the control channel: who honours what, and orders to set, hold and forget.
 
+use super::schema::{Problem, SettingsNames};
 use super::server::value;
-use super::shape::{Problem, Words};
 use crate::api::Micros;
 use crate::core::Courier;
 use crate::history::hearing::Honoured;
@@ -13,7 +13,7 @@
 /// Whose messages, by name. What is absent means all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct WhoseShape {
+pub struct RetentionScope {
     /// Name of the tenant.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub tenant: Option<String>,
@@ -28,11 +28,11 @@
 /// An order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
-pub enum OrderShape {
+pub enum RetentionOrder {
     /// How long they are kept.
     Set {
         /// Whose.
-        whose: WhoseShape,
+        whose: RetentionScope,
         /// Seconds.
         keep_s: u32,
         /// Times that each may be sent again; 0: not at all.
@@ -41,14 +41,14 @@
     /// Ageing stops, or goes on.
     Hold {
         /// Whose.
-        whose: WhoseShape,
+        whose: RetentionScope,
         /// It stops.
         on: bool,
     },
     /// They are forgotten.
     Forget {
         /// Whose.
-        whose: WhoseShape,
+        whose: RetentionScope,
         /// What ended up to then, in milliseconds since 1970; now if absent.
         until_ms: Option<u64>,
         /// Also where a hold is known.
@@ -58,9 +58,9 @@
 
 /// One policy.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PolicyShape {
+pub struct RetentionPolicy {
     /// Whose.
-    pub whose: WhoseShape,
+    pub whose: RetentionScope,
     /// Its version; 0: a forget order alone.
     pub version: u64,
     /// Seconds for which what ends now is kept; absent where it says nothing of it.
@@ -75,7 +75,7 @@
 
 /// How far a tenant's policies are honoured.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TenantShape {
+pub struct TenantRetention {
     /// Name of the tenant.
     pub tenant: String,
     /// The newest version told by anybody.
@@ -98,7 +98,7 @@
 
 /// All of it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RetentionShape {
+pub struct RetentionStatus {
     /// Now, in milliseconds since 1970.
     pub now_ms: u64,
     /// The number of this courier.
@@ -121,14 +121,14 @@
     /// And lately enough to send anything again.
     pub fresh: bool,
     /// By tenant.
-    pub tenants: Vec<TenantShape>,
+    pub tenants: Vec<TenantRetention>,
     /// By whom they are about.
-    pub policies: Vec<PolicyShape>,
+    pub policies: Vec<RetentionPolicy>,
 }
 
 /// Answers a call; `parts`: the path behind `/v1/retention`.
 pub fn answer(
-    courier: &Courier, words: &Words, method: &str, parts: &[&str], body: &[u8],
+    courier: &Courier, words: &SettingsNames, method: &str, parts: &[&str], body: &[u8],
 ) -> Result<(u16, serde_json::Value), Problem> {
     let order = match (method, parts) {
         ("GET", []) => None,
@@ -136,7 +136,7 @@
         (_, []) => return Err(Problem::new("method", 405, "not with this method", method)),
         _ => return Err(Problem::new("path", 404, "no such path", parts.join("/"))),
     };
-    let done: Option<Result<RetentionShape, Problem>> = courier.with_history(|keeper, now| {
+    let done: Option<Result<RetentionStatus, Problem>> = courier.with_history(|keeper, now| {
         if let Some(order) = &order {
             give(keeper, words, order, now)?;
         }
@@ -152,7 +152,7 @@
     Problem::new("order", 422, "the order can't be given as it is", detail)
 }
 
-fn scope(words: &Words, whose: &WhoseShape) -> Result<Scope, Problem> {
+fn scope(words: &SettingsNames, whose: &RetentionScope) -> Result<Scope, Problem> {
     let place = |what: &str, list: &[String], name: &Option<String>| match name {
         None => Ok(ANY),
         Some(name) => {
@@ -169,22 +169,24 @@
     })
 }
 
-fn whose(words: &Words, scope: &Scope) -> WhoseShape {
-    let named = |list: &[String], place: u16| (place != ANY).then(|| Words::name(list, place));
-    WhoseShape {
+fn whose(words: &SettingsNames, scope: &Scope) -> RetentionScope {
+    let named = |list: &[String], place: u16| (place != ANY).then(|| SettingsNames::name_of(list, place));
+    RetentionScope {
         tenant: named(&words.tenants, scope.tenant),
         class: named(&words.classes, scope.class),
         destination: Some(scope.dest).filter(|d| *d != ANY),
     }
 }
 
-fn give(keeper: &mut Keeper, words: &Words, order: &OrderShape, now: Micros) -> Result<(), Problem> {
+fn give(
+    keeper: &mut Keeper, words: &SettingsNames, order: &RetentionOrder, now: Micros,
+) -> Result<(), Problem> {
     let skew = keeper.config.skew;
     let closed = || Problem::new("closed", 507, "this courier's history is closed", "");
     let book = keeper.history().ok_or_else(closed)?.book();
     let version = |scope: &Scope| book.entries().get(scope).map_or(0, Entry::version) + 1;
     let (scope, entry) = match order {
-        OrderShape::Set { whose, keep_s, replays } => {
+        RetentionOrder::Set { whose, keep_s, replays } => {
             if *keep_s > LONGEST {
                 return Err(refused(format!("keep_s: {LONGEST} at most")));
             }
@@ -193,7 +195,7 @@
             let word = Word { version: version(&scope), replay: *replays > 0, replays: *replays, hold };
             (scope, book.reworded(scope, now, word, *keep_s))
         }
-        OrderShape::Hold { whose, on } => {
+        RetentionOrder::Hold { whose, on } => {
             let scope = scope(words, whose)?;
             let known = book.entries().get(&scope).filter(|e| e.version() > 0);
             let known = known
@@ -201,7 +203,7 @@
             let word = Word { version: version(&scope), hold: *on, ..known.word() };
             (scope, book.reworded(scope, now, word, known.keep(u32::MAX)))
         }
-        OrderShape::Forget { whose, until_ms, despite_hold } => {
+        RetentionOrder::Forget { whose, until_ms, despite_hold } => {
             let until = until_ms.map_or(now, |ms| Micros(ms.saturating_mul(1_000)));
             if until > now {
                 return Err(refused("until: that is still to come"));
@@ -232,12 +234,12 @@
     }
 }
 
-fn shape(keeper: &Keeper, words: &Words, now: Micros) -> RetentionShape {
+fn shape(keeper: &Keeper, words: &SettingsNames, now: Micros) -> RetentionStatus {
     let counts = keeper.counts();
     let ms = |at: Micros| at.0 / 1_000;
     let forgot = |second: u32| (second > 0).then(|| u64::from(second) * 1_000);
-    let tenant = |h: Honoured| TenantShape {
-        tenant: Words::name(&words.tenants, h.tenant),
+    let tenant = |h: Honoured| TenantRetention {
+        tenant: SettingsNames::name_of(&words.tenants, h.tenant),
         version: h.version,
         forgotten_until_ms: forgot(h.forgot),
         by_all: h.by_all(),
@@ -247,7 +249,7 @@
         honoured_by: h.by.into_iter().collect(),
         not_by: h.not_by,
     };
-    let policy = |(scope, entry): (&Scope, &Entry)| PolicyShape {
+    let policy = |(scope, entry): (&Scope, &Entry)| RetentionPolicy {
         whose: whose(words, scope),
         version: entry.version(),
         keep_s: (entry.version() > 0).then(|| entry.keep(u32::MAX)),
@@ -256,7 +258,7 @@
         forgotten_until_ms: forgot(entry.forget()),
     };
     let book = keeper.history().map(|h| h.book());
-    RetentionShape {
+    RetentionStatus {
         now_ms: ms(now),
         me: keeper.me,
         closed: keeper.shut().map(str::to_owned),
--- a/src/control/shape.rs
+++ b/src/control/schema.rs
@@ -10,7 +10,7 @@
 
 /// Names of what the core knows by number.
 #[derive(Debug, Clone, Default)]
-pub struct Words {
+pub struct SettingsNames {
     /// Names of classes, by their position; one name may stand for several.
     pub classes: Vec<String>,
     /// Names of tenants, by their position.
@@ -22,7 +22,7 @@
 /// Whose messages, by name. What is absent means all.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct ScopeShape {
+pub struct DrainScope {
     /// `platform` or `mail`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub front: Option<String>,
@@ -40,9 +40,9 @@
 /// A wish to drain. One of `by_ms` and `within_ms` must be there.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct WishShape {
+pub struct NewDrain {
     /// Whose messages.
-    pub scope: ScopeShape,
+    pub scope: DrainScope,
     /// The deadline, in milliseconds since 1970.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub by_ms: Option<u64>,
@@ -58,13 +58,13 @@
 
 /// How far a drain is.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct DrainShape {
+pub struct DrainStatus {
     /// Its number.
     pub id: u64,
     /// `draining`, `emptied`, `struck`, `struck_and_emptied`, `cancelled` or `closed`.
     pub state: String,
     /// Whose messages.
-    pub scope: ScopeShape,
+    pub scope: DrainScope,
     /// When it was asked for, and its deadline, in milliseconds since 1970.
     pub since_ms: u64,
     /// The deadline.
@@ -96,7 +96,7 @@
     pub handed_back: u64,
 }
 
-impl DrainShape {
+impl DrainStatus {
     /// It turns messages away.
     pub fn is_on(&self) -> bool {
         !matches!(self.state.as_str(), "cancelled" | "closed")
@@ -110,7 +110,7 @@
 
 /// The instance as a whole.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct StatusShape {
+pub struct InstanceStatus {
     /// Version of the program.
     pub version: String,
     /// Its process.
@@ -131,7 +131,7 @@
     #[serde(default)]
     pub clients: BTreeMap<String, AcceptorStats>,
     /// Drains that are on.
-    pub drains: Vec<DrainShape>,
+    pub drains: Vec<DrainStatus>,
     /// What the fleet believes, where state is shared.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shared: Option<serde_json::Value>,
@@ -160,7 +160,7 @@
     }
 
     /// The last word of its kind.
-    pub fn word(&self) -> &str {
+    pub fn short_kind(&self) -> &str {
         self.kind.rsplit(':').next().unwrap_or_default()
     }
 }
@@ -182,9 +182,9 @@
     }
 }
 
-impl Words {
+impl SettingsNames {
     /// The scope of these names, or what is wrong with them.
-    pub fn scope(&self, shape: &ScopeShape) -> Result<Scope, String> {
+    pub fn resolve_scope(&self, shape: &DrainScope) -> Result<Scope, String> {
         let front = match &shape.front {
             None => None,
             Some(name) => {
@@ -210,7 +210,7 @@
     }
 
     /// The wish, or what is wrong with it.
-    pub fn wish(&self, shape: WishShape, now: Micros) -> Result<DrainRequest, String> {
+    pub fn resolve_drain(&self, shape: NewDrain, now: Micros) -> Result<DrainRequest, String> {
         let by = match (shape.by_ms, shape.within_ms) {
             (Some(by), None) => Micros(by.saturating_mul(1000)),
             (None, Some(within)) => now + Micros(within.saturating_mul(1000)),
@@ -226,7 +226,7 @@
         let uri = |c: char| c.is_ascii_graphic() && !"<>\"\\".contains(c);
         plain("elsewhere", shape.elsewhere.as_deref().unwrap_or_default(), uri)?;
         Ok(DrainRequest {
-            scope: self.scope(&shape.scope)?,
+            scope: self.resolve_scope(&shape.scope)?,
             deadline: by,
             reason: shape.reason,
             alternative_address: shape.elsewhere,
@@ -234,22 +234,22 @@
     }
 
     /// The name at a place, or the place where it has none.
-    pub fn name(list: &[String], place: u16) -> String {
+    pub fn name_of(list: &[String], place: u16) -> String {
         list.get(usize::from(place)).cloned().unwrap_or_else(|| format!("#{place}"))
     }
 
-    fn scope_shape(&self, scope: &Scope) -> ScopeShape {
+    fn scope_shape(&self, scope: &Scope) -> DrainScope {
         let front = |number| FRONTS.iter().find(|(_, n)| *n == number).map(|(name, _)| (*name).to_owned());
-        ScopeShape {
+        DrainScope {
             front: scope.front.and_then(front),
             dest: scope.dest,
-            class: scope.classes.first().map(|c| Words::name(&self.classes, *c)),
-            tenant: scope.tenant.map(|t| Words::name(&self.tenants, t)),
+            class: scope.classes.first().map(|c| SettingsNames::name_of(&self.classes, *c)),
+            tenant: scope.tenant.map(|t| SettingsNames::name_of(&self.tenants, t)),
         }
     }
 
     /// A drain as it is shown.
-    pub fn drain(&self, progress: &Progress, now: Micros) -> DrainShape {
+    pub fn drain_status(&self, progress: &Progress, now: Micros) -> DrainStatus {
         let drain = &progress.drain;
         let state = match (drain.stage, progress.is_empty()) {
             (Stage::Draining, false) => "draining",
@@ -261,9 +261,9 @@
         };
         let mut by_class: BTreeMap<String, Counts> = BTreeMap::new();
         for (class, counts) in &progress.by_class {
-            by_class.entry(Words::name(&self.classes, *class)).or_default().add(counts);
+            by_class.entry(SettingsNames::name_of(&self.classes, *class)).or_default().add(counts);
         }
-        DrainShape {
+        DrainStatus {
             id: drain.id,
             state: state.into(),
             scope: self.scope_shape(&drain.scope),
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -1,9 +1,8 @@
 //! The control channel's server: a listener on a Unix domain socket, a few small-stack threads, one request at a time.
 
-use super::asking;
 use super::config::ControlConfig;
-use super::shape::{DrainShape, Problem, StatusShape, WishShape, Words};
-use super::{replay, retention};
+use super::schema::{DrainStatus, InstanceStatus, NewDrain, Problem, SettingsNames};
+use super::{fleet_query, replay, retention};
 use crate::api::Micros;
 use crate::core::draining::Progress;
 use crate::core::Courier;
@@ -32,7 +31,7 @@
 
 struct Control {
     courier: Arc<Courier>,
-    words: Words,
+    words: SettingsNames,
     doors: Vec<AcceptorHandle>,
     fleet: Option<Asker>,
     shared: Option<Arc<Published>>,
@@ -76,7 +75,7 @@
 
 /// Starts the listener.
 pub fn serve(
-    courier: &Arc<Courier>, config: &ControlConfig, words: Words, doors: Vec<AcceptorHandle>,
+    courier: &Arc<Courier>, config: &ControlConfig, words: SettingsNames, doors: Vec<AcceptorHandle>,
     shared: Option<Arc<Published>>, fleet: Option<Asker>, take_over: bool,
 ) -> io::Result<()> {
     let listener = bind(&config.socket, take_over)?;
@@ -194,7 +193,7 @@
                 value(200, &self.shape(&self.courier.drain_close(number(id)?)?))
             }
             ("POST", ["v1", "ask"]) => {
-                value(200, &asking::ask(self.fleet.as_ref(), &self.courier.clock, body)?)
+                value(200, &fleet_query::ask(self.fleet.as_ref(), &self.courier.clock, body)?)
             }
             (_, ["v1", "status" | "drains"] | ["v1", "drains", _] | ["v1", "drains", _, "close"]) => {
                 Err(Problem::new("method", 405, "not with this method", format!("{method} {path}")))
@@ -209,26 +208,26 @@
         }
     }
 
-    fn shape(&self, progress: &Progress) -> DrainShape {
-        self.words.drain(progress, self.courier.clock.now())
+    fn shape(&self, progress: &Progress) -> DrainStatus {
+        self.words.drain_status(progress, self.courier.clock.now())
     }
 
-    fn drains(&self) -> Vec<DrainShape> {
+    fn drains(&self) -> Vec<DrainStatus> {
         self.courier.drains().iter().map(|p| self.shape(p)).collect()
     }
 
     fn start(&self, body: &[u8]) -> Result<(u16, serde_json::Value), Problem> {
         let malformed =
             |detail: String| Problem::new("wish", 422, "the wish can't be granted as it is", detail);
-        let wish: WishShape = serde_json::from_slice(body).map_err(|e| malformed(e.to_string()))?;
-        let wish = self.words.wish(wish, self.courier.clock.now()).map_err(malformed)?;
+        let wish: NewDrain = serde_json::from_slice(body).map_err(|e| malformed(e.to_string()))?;
+        let wish = self.words.resolve_drain(wish, self.courier.clock.now()).map_err(malformed)?;
         let (started, progress) = self.courier.drain_start(wish)?;
         value(if started.updated { 200 } else { 201 }, &self.shape(&progress))
     }
 
-    fn status(&self) -> StatusShape {
-        let drains = self.drains().into_iter().filter(DrainShape::is_on).collect();
-        StatusShape {
+    fn status(&self) -> InstanceStatus {
+        let drains = self.drains().into_iter().filter(DrainStatus::is_on).collect();
+        InstanceStatus {
             version: env!("CARGO_PKG_VERSION").into(),
             pid: std::process::id(),
             started_ms: self.started.0 / 1000,
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -7,7 +7,7 @@
 use crate::ask;
 use crate::clock::anchor;
 use crate::config::{Config, Paths, PeerAddresses};
-use crate::control::{self, shape::Words};
+use crate::control::{self, schema::SettingsNames};
 use crate::core::{draining, memory, Courier, ListUpdate, Options, Report, Source};
 use crate::history;
 use crate::net::ask::{Asker, Setup};
@@ -153,7 +153,7 @@
         own_class: mail_config.as_ref().map(|m| m.bounce_class),
         history: history_writer,
     };
-    let words = Words { classes: classes.clone(), tenants: names.tenants.clone() };
+    let words = SettingsNames { classes: classes.clone(), tenants: names.tenants.clone() };
     let gossip_allowed = settings.limits.gossip;
     let courier = Arc::new(Courier::new(settings, config.seed, clock, journal, options));
     let start_error = |e: std::io::Error| format!("starting: {e}");
--- a/src/net/ask/kinds/held.rs
+++ b/src/net/ask/kinds/held.rs
@@ -4,7 +4,7 @@
 use super::{nothing_to_choose, Answers, Here, Piece, ELSEWHERE};
 use crate::api::Micros;
 use crate::ask::Kind;
-use crate::control::shape::Words;
+use crate::control::schema::SettingsNames;
 use crate::core::message_lookup;
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     last: Mutex<Option<(Micros, Piece)>>,
 }
 
-fn count(held: &[message_lookup::HeldMessage], words: &Words) -> Piece {
+fn count(held: &[message_lookup::HeldMessage], words: &SettingsNames) -> Piece {
     let (mut at, mut class, mut tenant) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
     let mut dest: BTreeMap<u16, u64> = BTreeMap::new();
     for one in held {
@@ -77,7 +77,7 @@
         let mut all: Vec<_> =
             (0..300).map(|dest| held(dest, 0, message_lookup::HeldState::Waiting)).collect();
         all.push(held(299, 1, message_lookup::HeldState::InFlight));
-        let words = Words { classes: vec!["order".into()], tenants: vec!["t".into()] };
+        let words = SettingsNames { classes: vec!["order".into()], tenants: vec!["t".into()] };
         let piece = count(&all, &words);
         assert_eq!((piece.figure, piece.settles), (301, false));
         assert_eq!(piece.body["at"], json!({"held": 300, "out": 1}));
--- a/src/net/ask/kinds/history.rs
+++ b/src/net/ask/kinds/history.rs
@@ -4,7 +4,7 @@
 use super::{Answers, Here, Piece};
 use crate::api::Micros;
 use crate::ask::Kind;
-use crate::control::shape::Words;
+use crate::control::schema::SettingsNames;
 use crate::history::reading::{Mark, Page};
 use crate::history::retention::{About, Scope, ANY};
 use crate::history::store::{EndKind, Kept};
@@ -49,7 +49,7 @@
 }
 
 impl Row {
-    fn of(number: u64, kept: &Kept, words: &Words) -> Row {
+    fn of(number: u64, kept: &Kept, words: &SettingsNames) -> Row {
         let how = match kept.how {
             EndKind::Delivered => "delivered",
             EndKind::GivenUp => "given_up",
@@ -60,7 +60,7 @@
             id: kept.id.clone(),
             ended_us: kept.ended.0,
             number,
-            class: Words::name(&words.classes, kept.class),
+            class: SettingsNames::name_of(&words.classes, kept.class),
             how: how.into(),
             bytes: kept.body.len(),
             backend: plain(&kept.first.1, SAID),
@@ -93,7 +93,7 @@
     Some((Micros(at.parse().ok()?), number.parse().ok()?))
 }
 
-fn wanted(words: &Words, subject: &str) -> Result<Wanted, String> {
+fn wanted(words: &SettingsNames, subject: &str) -> Result<Wanted, String> {
     let mut all = subject.split(' ').filter(|word| !word.is_empty());
     let (Some(tenant), Some(dest)) = (all.next(), all.next()) else {
         return Err("it takes a tenant and a destination's number".into());
@@ -128,7 +128,7 @@
 }
 
 /// A page in pieces.
-fn pieces(page: &Page, heard_ms: Option<u64>, words: &Words) -> Vec<Piece> {
+fn pieces(page: &Page, heard_ms: Option<u64>, words: &SettingsNames) -> Vec<Piece> {
     let head = Head { upto: page.upto.map(|(at, number)| (at.0, number)), heard_ms };
     let rows: Vec<Row> = page.rows.iter().map(|(number, kept)| Row::of(*number, kept, words)).collect();
     let mut out = vec![Piece { figure: 0, settles: false, body: json!(head) }];
@@ -236,8 +236,8 @@
     use super::*;
     use crate::net::ask::shape::PartShape;
 
-    fn words() -> Words {
-        Words { classes: vec!["order".into()], tenants: vec!["t0".into(), "t1".into()] }
+    fn words() -> SettingsNames {
+        SettingsNames { classes: vec!["order".into()], tenants: vec!["t0".into(), "t1".into()] }
     }
 
     #[test]
--- a/src/net/ask/kinds/mod.rs
+++ b/src/net/ask/kinds/mod.rs
@@ -9,7 +9,7 @@
 use super::shape::{AnswerShape, Piece};
 use crate::api::Micros;
 use crate::ask::{AskConfig, Kind};
-use crate::control::shape::Words;
+use crate::control::schema::SettingsNames;
 use crate::core::Courier;
 use crate::history::keeper::Keeper;
 use crate::net::peers::published::Published;
@@ -25,7 +25,7 @@
     /// The core. Danger: its lock may be held over a slow disk; see [`Answers::needs_core`].
     pub courier: Arc<Courier>,
     /// Names of classes and tenants.
-    pub words: Words,
+    pub words: SettingsNames,
     /// This process takes clients.
     pub serving: Arc<AtomicBool>,
     /// What the fleet believes; `None`: nothing is shared.
--- a/src/net/ask/kinds/place.rs
+++ b/src/net/ask/kinds/place.rs
@@ -3,7 +3,7 @@
 use super::{Answers, Here, Piece, ELSEWHERE};
 use crate::admin::metrics::Ended;
 use crate::ask::Kind;
-use crate::control::shape::Words;
+use crate::control::schema::SettingsNames;
 use crate::core::message_lookup;
 use serde_json::{json, Value};
 
@@ -16,7 +16,7 @@
     list.get(usize::from(place)).filter(|n| !n.is_empty()).cloned().unwrap_or_else(|| format!("#{place}"))
 }
 
-fn say(place: &message_lookup::MessageLocation, words: &Words) -> Value {
+fn say(place: &message_lookup::MessageLocation, words: &SettingsNames) -> Value {
     match place {
         message_lookup::MessageLocation::Held { message: held, attempts: tries, deadline: due, backend } => {
             json!({
--- a/src/net/ask/kinds/retention.rs
+++ b/src/net/ask/kinds/retention.rs
@@ -4,7 +4,7 @@
 use super::{Answers, Here, Piece};
 use crate::api::Micros;
 use crate::ask::Kind;
-use crate::control::shape::Words;
+use crate::control::schema::SettingsNames;
 use crate::history::keeper::Keeper;
 use crate::history::retention::ANY;
 use crate::net::ask::shape::{plain, AnswerShape, PartShape};
@@ -71,7 +71,7 @@
     at.0 / 1_000
 }
 
-fn lines(keeper: &Keeper, words: &Words, now: Micros, only: &str) -> Option<(Head, Vec<Line>)> {
+fn lines(keeper: &Keeper, words: &SettingsNames, now: Micros, only: &str) -> Option<(Head, Vec<Line>)> {
     let history = keeper.history()?;
     let digests = history.book().digests();
     let head = Head {
@@ -81,7 +81,13 @@
         heard_ms: keeper.hearing.since().map(|at| ms(now - at)),
         settled: history.settled(),
     };
-    let name = |tenant| if tenant == ANY { EVERY.to_owned() } else { Words::name(&words.tenants, tenant) };
+    let name = |tenant| {
+        if tenant == ANY {
+            EVERY.to_owned()
+        } else {
+            SettingsNames::name_of(&words.tenants, tenant)
+        }
+    };
     let all = [ANY].into_iter().chain(history.tenants()).map(|tenant| (tenant, name(tenant)));
     let wanted = |name: &str| only.is_empty() || name == only || name == EVERY;
     let told = all.filter(|(_, name)| wanted(name)).map(|(tenant, name)| {
--- a/src/net/ask/mod.rs
+++ b/src/net/ask/mod.rs
@@ -91,7 +91,7 @@
     /// The core.
     pub courier: Arc<Courier>,
     /// Names of classes and tenants.
-    pub words: crate::control::shape::Words,
+    pub words: crate::control::schema::SettingsNames,
     /// This process takes clients.
     pub serving: Arc<AtomicBool>,
     /// The operators' file.
--- a/tests/ask_history.rs
+++ b/tests/ask_history.rs
@@ -7,7 +7,7 @@
 
 use askers::{fleet_of, missing, Fleet, Plan};
 use indigohold::control::client::Client;
-use indigohold::control::retention::{OrderShape, WhoseShape};
+use indigohold::control::retention::{RetentionOrder, RetentionScope};
 use indigohold_relay::{Faults, Mesh, What};
 use serde_json::{json, Value};
 use std::collections::BTreeSet;
@@ -52,8 +52,8 @@
 }
 
 fn forget(fleet: &Fleet, i: usize) {
-    let whose = WhoseShape { tenant: Some("tallowood".into()), ..WhoseShape::default() };
-    client(fleet, i).order(&OrderShape::Forget { whose, until_ms: None, despite_hold: false }).unwrap();
+    let whose = RetentionScope { tenant: Some("tallowood".into()), ..RetentionScope::default() };
+    client(fleet, i).order(&RetentionOrder::Forget { whose, until_ms: None, despite_hold: false }).unwrap();
 }
 
 fn tallowood(fleet: &Fleet, i: usize) -> Value {
--- a/tests/drain.rs
+++ b/tests/drain.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use indigohold::control::shape::{ScopeShape, WishShape};
+use indigohold::control::schema::{DrainScope, NewDrain};
 use std::collections::BTreeMap;
 use std::process::Command;
 use std::sync::atomic::Ordering;
@@ -19,7 +19,7 @@
     let (_program, addr) = site.start();
     let mut client = site.client();
     assert_eq!(client.drains().unwrap(), []);
-    let wish = WishShape {
+    let wish = NewDrain {
         reason: "moving to another machine".into(),
         elsewhere: Some("http://10.9.9.9:8081/api".into()),
         ..wish(60_000)
@@ -239,7 +239,7 @@
     // An end by SIGTERM takes no new wish, and keeps the old one.
     program.signal("TERM");
     program.line_with("told to end");
-    let refused = site.client().start(&WishShape { scope: dest(9), ..wish(10_000) });
+    let refused = site.client().start(&NewDrain { scope: dest(9), ..wish(10_000) });
     assert_eq!(word(refused.unwrap_err()), "ending");
     assert!(program.child.wait().unwrap().success());
     let (_program, addr) = site.start();
@@ -248,8 +248,8 @@
     assert_eq!(hand_in(addr, "m4", "print-order", 3).status(), 202);
 }
 
-fn dest(dest: u16) -> ScopeShape {
-    ScopeShape { dest: Some(dest), ..ScopeShape::default() }
+fn dest(dest: u16) -> DrainScope {
+    DrainScope { dest: Some(dest), ..DrainScope::default() }
 }
 
 #[test]
@@ -258,9 +258,9 @@
     let site = site(&[(&one, 3), (&two, 4)]);
     let (_program, addr) = site.start();
     let mut client = site.client();
-    let by_dest = client.start(&WishShape { scope: dest(3), ..wish(60_000) }).unwrap();
-    let class = ScopeShape { class: Some("render-status".into()), ..ScopeShape::default() };
-    let by_class = client.start(&WishShape { scope: class, ..wish(60_000) }).unwrap();
+    let by_dest = client.start(&NewDrain { scope: dest(3), ..wish(60_000) }).unwrap();
+    let class = DrainScope { class: Some("render-status".into()), ..DrainScope::default() };
+    let by_class = client.start(&NewDrain { scope: class, ..wish(60_000) }).unwrap();
     let refused = hand_in(addr, "a", "print-order", 3);
     assert_eq!(
         (refused.status(), refused.header("connection")),
@@ -270,16 +270,16 @@
     assert_eq!(hand_in(addr, "b", "print-order", 4).status(), 202);
     assert_eq!(hand_in(addr, "c", "render-status", 4).status(), 503);
     until("b", || two.count("b") == 1);
-    let tenant = ScopeShape { tenant: Some("carrabeen".into()), ..ScopeShape::default() };
-    let by_tenant = client.start(&WishShape { scope: tenant, ..wish(60_000) }).unwrap();
+    let tenant = DrainScope { tenant: Some("carrabeen".into()), ..DrainScope::default() };
+    let by_tenant = client.start(&NewDrain { scope: tenant, ..wish(60_000) }).unwrap();
     assert_eq!(hand_in(addr, "d", "print-order", 4).status(), 202, "tallowood's");
     for id in [by_dest.id, by_class.id, by_tenant.id] {
         assert_eq!(client.cancel(id).unwrap().state, "cancelled");
     }
     assert_eq!(hand_in(addr, "e", "render-status", 3).status(), 202);
-    let none = ScopeShape { class: Some("none".into()), ..ScopeShape::default() };
-    assert_eq!(word(client.start(&WishShape { scope: none, ..wish(9) }).unwrap_err()), "wish");
-    assert_eq!(word(client.start(&WishShape::default()).unwrap_err()), "wish");
+    let none = DrainScope { class: Some("none".into()), ..DrainScope::default() };
+    assert_eq!(word(client.start(&NewDrain { scope: none, ..wish(9) }).unwrap_err()), "wish");
+    assert_eq!(word(client.start(&NewDrain::default()).unwrap_err()), "wish");
     assert_eq!(word(client.start(&wish(8 * 24 * 3_600_000)).unwrap_err()), "deadline");
     assert_eq!(word(client.cancel(99).unwrap_err()), "unknown");
     assert_eq!(word(client.cancel(by_dest.id).unwrap_err()), "cancelled");
--- a/tests/drain_load.rs
+++ b/tests/drain_load.rs
@@ -2,8 +2,8 @@
 
 mod support;
 
-use indigohold::control::client::Failed;
-use indigohold::control::shape::{ScopeShape, WishShape};
+use indigohold::control::client::ClientError;
+use indigohold::control::schema::{DrainScope, NewDrain};
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -79,7 +79,7 @@
     let mut busy = false;
     until("a refusal", || {
         open.push(UnixStream::connect(site.socket()).unwrap());
-        busy |= matches!(site.client().status(), Err(Failed::Problem(p)) if p.word() == "busy");
+        busy |= matches!(site.client().status(), Err(ClientError::Problem(p)) if p.short_kind() == "busy");
         busy
     });
     drop(open);
@@ -290,8 +290,8 @@
     assert!(say("DATA").starts_with("354"));
     assert!(say("Subject: x\r\nMessage-ID: <1@t>\r\n\r\nten parts\r\n.").starts_with("250"));
     let mut client = site.client();
-    let front = ScopeShape { front: Some("mail".into()), ..ScopeShape::default() };
-    let id = client.start(&WishShape { scope: front, ..wish(900) }).unwrap().id;
+    let front = DrainScope { front: Some("mail".into()), ..DrainScope::default() };
+    let id = client.start(&NewDrain { scope: front, ..wish(900) }).unwrap().id;
     assert!(say("MAIL FROM:<me@t.p.example>").starts_with("421 4.3.2 draining"));
     // Its server refuses connections: it never ran, ends at the strike, and its bounce is taken on and owed.
     until("the strike", || client.drain(id).unwrap().state == "struck");
--- a/tests/history_fleet.rs
+++ b/tests/history_fleet.rs
@@ -3,8 +3,8 @@
 
 mod support;
 
-use indigohold::control::client::{Client, Failed};
-use indigohold::control::retention::{OrderShape, RetentionShape, WhoseShape};
+use indigohold::control::client::{Client, ClientError};
+use indigohold::control::retention::{RetentionOrder, RetentionScope, RetentionStatus};
 use indigohold_relay::Faults;
 use std::fs;
 use std::process::Command;
@@ -31,7 +31,7 @@
     Client::new(&fleet.folders[i].0.join("run/control.sock"))
 }
 
-fn seen(fleet: &Fleet, i: usize) -> RetentionShape {
+fn seen(fleet: &Fleet, i: usize) -> RetentionStatus {
     client(fleet, i).retention().unwrap()
 }
 
@@ -44,12 +44,12 @@
     }
 }
 
-fn forget(whose: WhoseShape, despite_hold: bool) -> OrderShape {
-    OrderShape::Forget { whose, until_ms: None, despite_hold }
+fn forget(whose: RetentionScope, despite_hold: bool) -> RetentionOrder {
+    RetentionOrder::Forget { whose, until_ms: None, despite_hold }
 }
 
-fn tallowood() -> WhoseShape {
-    WhoseShape { tenant: Some("tallowood".into()), ..WhoseShape::default() }
+fn tallowood() -> RetentionScope {
+    RetentionScope { tenant: Some("tallowood".into()), ..RetentionScope::default() }
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let held = within(20.0, "the hold is everywhere", || seen(&fleet, 2).policies.iter().any(|p| p.hold));
     println!("a hold is known to the last after {held:.2?}");
     let refused = client(&fleet, 2).order(&forget(tallowood(), false));
-    assert!(matches!(refused, Err(Failed::Problem(p)) if p.word() == "held"));
+    assert!(matches!(refused, Err(ClientError::Problem(p)) if p.short_kind() == "held"));
     let (code, text) = run(&["forget", "--tenant", "tallowood", "--despite-hold"]);
     assert!(code == 0 && text.contains("0 messages kept, 2 deleted"), "{text}");
     let (code, text) = run(&["set", "--tenant", "tallowood", "--keep", "2h", "--replays", "2"]);
--- a/tests/measure_drain.rs
+++ b/tests/measure_drain.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use indigohold::control::client::Client;
-use indigohold::control::shape::{ScopeShape, WishShape};
+use indigohold::control::schema::{DrainScope, NewDrain};
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::process::{Command, Stdio};
@@ -93,7 +93,7 @@
         })
         .collect();
     thread::sleep(Duration::from_secs(10));
-    let drain = client.start(&WishShape { within_ms: Some(60_000), ..WishShape::default() }).unwrap();
+    let drain = client.start(&NewDrain { within_ms: Some(60_000), ..NewDrain::default() }).unwrap();
     let started = Instant::now();
     println!(
         "backlog {} at its start; ideal {:.2} s at {capacity} calls a second",
@@ -180,8 +180,8 @@
     for n in 0..400 {
         hand_in(addr, &format!("c{n}"), "print-order", 3);
     }
-    let scope = ScopeShape { dest: Some(3), ..ScopeShape::default() };
-    client.start(&WishShape { scope, within_ms: Some(60_000), ..WishShape::default() }).unwrap();
+    let scope = DrainScope { dest: Some(3), ..DrainScope::default() };
+    client.start(&NewDrain { scope, within_ms: Some(60_000), ..NewDrain::default() }).unwrap();
     phase("during");
 }
 
@@ -196,7 +196,7 @@
         hand_in(addr, &format!("m{n}"), "print-order", 3);
     }
     let mut client = Client::new(&folder.0.join("control.sock"));
-    client.start(&WishShape { within_ms: Some(60_000), ..WishShape::default() }).unwrap();
+    client.start(&NewDrain { within_ms: Some(60_000), ..NewDrain::default() }).unwrap();
     let ticks = |pid: u32| -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap().split_whitespace().collect();
--- a/tests/measure_replay.rs
+++ b/tests/measure_replay.rs
@@ -5,7 +5,7 @@
 
 use hdrhistogram::Histogram;
 use indigohold::control::client::Client;
-use indigohold::control::replay::WantShape;
+use indigohold::control::replay::ReplayRequest;
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -152,7 +152,7 @@
     };
     show("alone, before", &alone(0));
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
-    let want = WantShape {
+    let want = ReplayRequest {
         tenant: "tallowood".into(),
         destination: 3,
         since_ms: now - 3_600_000,
--- a/tests/replay.rs
+++ b/tests/replay.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use indigohold::control::client::Client;
-use indigohold::control::replay::{RunShape, WantShape};
+use indigohold::control::replay::{ReplayRequest, ReplayRun};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -41,9 +41,9 @@
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64
 }
 
-fn want(reason: &str, lost: bool) -> WantShape {
+fn want(reason: &str, lost: bool) -> ReplayRequest {
     let (tenant, reason) = ("tallowood".to_owned(), reason.to_owned());
-    WantShape { tenant, destination: 3, since_ms: 0, until_ms: now_ms() + 1, lost, reason }
+    ReplayRequest { tenant, destination: 3, since_ms: 0, until_ms: now_ms() + 1, lost, reason }
 }
 
 fn hand_in(addr: SocketAddr, ids: impl Iterator<Item = String>) -> usize {
@@ -60,7 +60,7 @@
     until("all have ended and are kept", || client(site).retention().unwrap().kept as usize >= many);
 }
 
-fn over(site: &Environment, id: &str) -> RunShape {
+fn over(site: &Environment, id: &str) -> ReplayRun {
     let mut last = None;
     until("the order is over", || {
         last = client(site).replays().unwrap().into_iter().find(|r| r.id == id);
@@ -80,7 +80,7 @@
     assert_eq!((plan.may, plan.not.len(), plan.missing.len()), (20, 0, 0));
     assert_eq!(site.delivered().values().sum::<usize>(), 20, "a plan sends nothing");
     // By two operators at once.
-    let runs: Vec<RunShape> = thread::scope(|s| {
+    let runs: Vec<ReplayRun> = thread::scope(|s| {
         let one = || client(&site).replay_run(&order).unwrap();
         let all: Vec<_> = (0..2).map(|_| s.spawn(one)).collect();
         all.into_iter().map(|t| t.join().unwrap()).collect()
@@ -243,7 +243,7 @@
         site.delivered().iter().filter(|(id, copies)| id.starts_with('m') && **copies == 2).count() as u64;
     assert_eq!(sent, stopped.taken, "nothing more begins once it is stopped");
     // Forgotten meanwhile: nothing of it goes, whatever was planned.
-    let forget = indigohold::control::retention::OrderShape::Forget {
+    let forget = indigohold::control::retention::RetentionOrder::Forget {
         whose: Default::default(),
         until_ms: None,
         despite_hold: false,
--- a/tests/replay_fleet.rs
+++ b/tests/replay_fleet.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use indigohold::control::client::Client;
-use indigohold::control::replay::{FleetShape, PartShape, WantShape};
+use indigohold::control::replay::{FleetReplay, ReplayPart, ReplayRequest};
 use indigohold_relay::Faults;
 use std::collections::BTreeMap;
 use std::fs;
@@ -60,13 +60,13 @@
     within(40.0, "all have heard enough", || at.iter().all(|i| client(fleet, *i).retention().unwrap().fresh));
 }
 
-fn want(reason: &str, lost: bool) -> WantShape {
+fn want(reason: &str, lost: bool) -> ReplayRequest {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
     let (tenant, reason) = ("tallowood".to_owned(), reason.to_owned());
-    WantShape { tenant, destination: 3, since_ms: now - 600_000, until_ms: now + 1, lost, reason }
+    ReplayRequest { tenant, destination: 3, since_ms: now - 600_000, until_ms: now + 1, lost, reason }
 }
 
-fn seen(fleet: &Fleet, i: usize, id: &str) -> Option<FleetShape> {
+fn seen(fleet: &Fleet, i: usize, id: &str) -> Option<FleetReplay> {
     client(fleet, i).replay_fleet(id).ok()
 }
 
@@ -95,8 +95,8 @@
 }
 
 /// What the couriers together say that was taken, and what was never delivered and is its client's still.
-fn sums(fleet: &FleetShape) -> (usize, usize) {
-    let not = |part: &PartShape| part.not.get("NotDelivered").copied().unwrap_or(0);
+fn sums(fleet: &FleetReplay) -> (usize, usize) {
+    let not = |part: &ReplayPart| part.not.get("NotDelivered").copied().unwrap_or(0);
     let parts = || fleet.parts.values();
     (parts().map(|p| p.taken).sum::<u64>() as usize, parts().map(not).sum::<u64>() as usize)
 }
--- a/tests/support/drains.rs
+++ b/tests/support/drains.rs
@@ -1,8 +1,8 @@
 //! A program with a control channel, as the drains' tests start it.
 
 use super::*;
-use indigohold::control::client::{Client, Failed};
-use indigohold::control::shape::{DrainShape, WishShape};
+use indigohold::control::client::{Client, ClientError};
+use indigohold::control::schema::{DrainStatus, NewDrain};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::Command;
@@ -73,18 +73,18 @@
     ask(addr, api(id, class, dest).as_bytes())
 }
 
-pub fn wish(within_ms: u64) -> WishShape {
-    WishShape { within_ms: Some(within_ms), ..WishShape::default() }
+pub fn wish(within_ms: u64) -> NewDrain {
+    NewDrain { within_ms: Some(within_ms), ..NewDrain::default() }
 }
 
-pub fn word(failed: Failed) -> String {
+pub fn word(failed: ClientError) -> String {
     match failed {
-        Failed::Problem(p) => p.word().to_owned(),
-        Failed::Unreached(e) => panic!("unreached: {e}"),
+        ClientError::Problem(p) => p.short_kind().to_owned(),
+        ClientError::Unreachable(e) => panic!("unreached: {e}"),
     }
 }
 
-pub fn ended(client: &mut Client, id: u64, state: &str) -> DrainShape {
+pub fn ended(client: &mut Client, id: u64, state: &str) -> DrainStatus {
     let mut last = None;
     until(state, || {
         let drain = client.drain(id).unwrap();
