--- a/src/admin/server.rs
+++ b/src/admin/server.rs
@@ -18,9 +18,10 @@
 /// Connections at a time: the descriptors divided by this, with an upper bound.
 const DESCRIPTORS_PER_CONNECTION: usize = 8;
 const MAX_CONNECTIONS: usize = 64;
-/// Time in which a client must send its line.
+/// Time in which a client must send its line, or read an answer that another thread computed.
 const LINE_TIMEOUT: Micros = Micros(5_000_000);
-/// Time in which a client must read its answer and close the connection.
+/// Time in which a client must read an immediate answer and close the connection, and the margin on the time that another
+/// thread has for an answer.
 const CLOSE_TIMEOUT: Micros = Micros(1_000_000);
 /// Most bytes that are read and discarded after the line.
 const MAX_DISCARDED_BYTES: usize = 16 * 1024;
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -98,7 +98,7 @@
     }
     let name = fields.get("name").and_then(Value::as_str).unwrap_or_default();
     let (at, peers, all) = (part("peer_listen"), part("peers"), part("peers_all"));
-    if let Err(e) = config::addresses(&at, &peers, &all, name, None) {
+    if let Err(e) = config::peer_addresses(&at, &peers, &all, name, None) {
         say("", &e);
     }
     if let Some(known) = fields.get("known").filter(|v| !v.is_null()) {
--- a/src/config.rs
+++ b/src/config.rs
@@ -130,7 +130,7 @@
     pub listen: Option<String>,
     discovery: Option<String>,
     control: Option<String>,
-    /// PeerAddresses of the peers. If `None`, gossip messages are off.
+    /// Addresses of the peers. If `None`, gossip messages are off.
     pub peers: Option<PeerAddresses>,
     /// This courier's name in the fleet; empty if it has none.
     pub name: String,
@@ -174,7 +174,7 @@
         let file: File = simd_json::serde::from_slice(&mut bytes).map_err(|e| fail(&e))?;
         let seed = seed(&file.seed).map_err(|e| fail(&e))?;
         let peers =
-            addresses(&file.peer_listen, &file.peers, &file.peers_all, &file.name, file.settings.me())
+            peer_addresses(&file.peer_listen, &file.peers, &file.peers_all, &file.name, file.settings.me())
                 .map_err(|e| fail(&e))?;
         Ok(Config {
             listen: self.listen.clone().or(file.listen),
@@ -194,7 +194,7 @@
     }
 }
 
-/// PeerAddresses of the datagrams between this courier and its peers.
+/// Addresses of the datagrams between this courier and its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerAddresses {
     /// Address that this courier binds.
@@ -213,9 +213,9 @@
 const MAX_PEERS: usize = 1024;
 
 /// Reads `peer_listen`, `peers` and `peers_all`. `peers` is a list in which this courier is at position `me`, or a map in
-/// which it has the key `name`; an empty entry is skipped. Without these settings, gossip messages are off and the result is
-/// `None`. An error is one line.
-pub(crate) fn addresses(
+/// which it has the key `name`; an empty entry is skipped. Without `peer_listen`, or without any address to send to, gossip
+/// messages are off and the result is `None`. An error is one line.
+pub(crate) fn peer_addresses(
     listen: &Value, peers: &Value, all: &Value, name: &str, me: Option<usize>,
 ) -> Result<Option<PeerAddresses>, String> {
     let addr = |setting: &str, value: &Value| match value {
@@ -261,7 +261,7 @@
     use serde_json::json;
 
     fn read(listen: Value, peers: Value, all: Value) -> Result<Option<PeerAddresses>, String> {
-        addresses(&listen, &peers, &all, "n1", Some(1))
+        peer_addresses(&listen, &peers, &all, "n1", Some(1))
     }
 
     #[test]
