--- a/src/control/config.rs
+++ b/src/control/config.rs
@@ -1,22 +1,23 @@
-//! The operators' file for the control channel, `deploy/channel.json` unless `NODE_CHANNEL` or `--channel` names another.
+//! The operators' configuration file of the control channel: `deploy/channel.json`, unless `NODE_CHANNEL` or `--channel` names
+//! another.
 
 use crate::checked::{self, Fault};
 use std::io::ErrorKind;
 use std::path::{Path, PathBuf};
 
-/// What the file says.
+/// The settings of the control channel.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlConfig {
-    /// The socket.
+    /// Path of the socket.
     pub socket: PathBuf,
-    /// Sessions at a time.
+    /// Largest number of concurrent sessions.
     pub sessions: usize,
 }
 
-/// Longest path that a socket can have on Linux, its end counted.
-const PATH_MOST: usize = 100;
+/// Longest accepted path of a socket. Linux allows 108 bytes with the terminating zero.
+const MAX_PATH_BYTES: usize = 100;
 
-/// Reads the file; `None`: the channel is off.
+/// Reads the file. `None`: the channel is off, as the file is missing or disables it.
 pub fn read(path: &Path) -> Result<Option<ControlConfig>, Vec<Fault>> {
     match std::fs::read(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
@@ -25,7 +26,7 @@
     }
 }
 
-/// The file's text. The socket's path is relative to its own folder.
+/// Parses the file's text. A relative socket path is resolved against `folder`, the folder of the file.
 pub fn parse(bytes: &[u8], folder: &Path) -> Result<Option<ControlConfig>, Vec<Fault>> {
     checked::read(bytes, |doc| {
         let enabled = doc.flag("enabled", true);
@@ -35,8 +36,11 @@
             doc.fault("socket", "not set");
         }
         let socket = socket.unwrap_or_default();
-        if socket.as_os_str().len() > PATH_MOST {
-            doc.fault("socket", format!("longer than the {PATH_MOST} bytes that a socket's path may have"));
+        if socket.as_os_str().len() > MAX_PATH_BYTES {
+            doc.fault(
+                "socket",
+                format!("longer than the {MAX_PATH_BYTES} bytes that a socket's path may have"),
+            );
         }
         enabled.then_some(ControlConfig { socket, sessions })
     })
@@ -47,9 +51,9 @@
     use super::*;
 
     #[test]
-    fn the_file_is_checked_whole() {
-        let on = parse(br#"{"socket": "run/s"}"#, Path::new("/x")).unwrap().unwrap();
-        assert_eq!(on, ControlConfig { socket: "/x/run/s".into(), sessions: 8 });
+    fn every_fault_in_the_file_is_reported() {
+        let config = parse(br#"{"socket": "run/s"}"#, Path::new("/x")).unwrap().unwrap();
+        assert_eq!(config, ControlConfig { socket: "/x/run/s".into(), sessions: 8 });
         assert_eq!(parse(br#"{"socket": "s", "enabled": false}"#, Path::new("")), Ok(None));
         let faults = parse(br#"{"sessions": 0, "sokket": 1}"#, Path::new("")).unwrap_err();
         let faults: Vec<String> = faults.iter().map(ToString::to_string).collect();
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,7 +1,8 @@
-//! The operators' control channel: HTTP/1.1 with JSON on a socket of this machine. `docs/operators/control.md` is the
-//! protocol. It is off unless the operators' file switches it on.
+//! The operators' control channel: HTTP/1.1 with JSON over a Unix domain socket. `docs/operators/control.md` describes the
+//! protocol. The channel is off unless the operators' file enables it.
 //!
-//! What is asked for is read with the parsers of the platform's front, and every session, size and time is bounded.
+//! Requests are read with the parsers of the platform frontend. The number of sessions, the size of requests and answers,
+//! and every wait are bounded.
 
 pub mod client;
 pub mod config;
--- a/src/control/retention.rs
+++ b/src/control/retention.rs
@@ -1,7 +1,7 @@
-//! Retention over the control channel: who honours what, and orders to set, hold and forget.
+//! Retention over the control channel: the policies, the couriers that honour them, and orders to set, hold and forget.
 
 use super::schema::{Problem, SettingsNames};
-use super::server::value;
+use super::server::ok_json;
 use crate::api::Micros;
 use crate::core::Courier;
 use crate::history::hearing::Honoured;
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Whose messages, by name. What is absent means all.
+/// The messages that a policy or an order covers, by name. A field that is absent matches all messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetentionScope {
@@ -25,110 +25,111 @@
     pub destination: Option<u16>,
 }
 
-/// An order.
+/// An order about retention.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", deny_unknown_fields)]
 pub enum RetentionOrder {
-    /// How long they are kept.
+    /// Sets how long ended messages are kept.
     Set {
-        /// Whose.
+        /// The messages that the order covers.
         whose: RetentionScope,
-        /// Seconds.
+        /// Time to keep a message after its end, in seconds.
         keep_s: u32,
-        /// Times that each may be sent again; 0: not at all.
+        /// How often each message may be sent again; 0 forbids replays.
         replays: u8,
     },
-    /// Ageing stops, or goes on.
+    /// Starts or ends a hold. Under a hold, messages are not deleted by age.
     Hold {
-        /// Whose.
+        /// The messages that the order covers.
         whose: RetentionScope,
-        /// It stops.
+        /// Whether the hold starts; otherwise it ends.
         on: bool,
     },
-    /// They are forgotten.
+    /// Deletes the messages for good, in the whole fleet.
     Forget {
-        /// Whose.
+        /// The messages that the order covers.
         whose: RetentionScope,
-        /// What ended up to then, in milliseconds since 1970; now if absent.
+        /// Messages that ended up to this time are forgotten, in milliseconds since 1970; the current time if absent.
         until_ms: Option<u64>,
-        /// Also where a hold is known.
+        /// Forget messages under a hold too.
         despite_hold: bool,
     },
 }
 
-/// One policy.
+/// A policy with its version, or a forget order.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetentionPolicy {
-    /// Whose.
+    /// The messages that the policy covers.
     pub whose: RetentionScope,
-    /// Its version; 0: a forget order alone.
+    /// Version of the policy; 0 if there is only a forget order.
     pub version: u64,
-    /// Seconds for which what ends now is kept; absent where it says nothing of it.
+    /// How long a message that ends now is kept, in seconds; absent if there is only a forget order.
     pub keep_s: Option<u32>,
-    /// Times that each may be sent again.
+    /// How often each message may be sent again.
     pub replays: u8,
-    /// Ageing stops.
+    /// Whether a hold prevents deletion by age.
     pub hold: bool,
-    /// What ended up to then is forgotten, in milliseconds since 1970.
+    /// Messages that ended up to this time are forgotten, in milliseconds since 1970.
     pub forgotten_until_ms: Option<u64>,
 }
 
-/// How far a tenant's policies are honoured.
+/// Which couriers honour a tenant's policies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantRetention {
     /// Name of the tenant.
     pub tenant: String,
-    /// The newest version told by anybody.
+    /// The newest version that any courier reported.
     pub version: u64,
-    /// The latest forget order told by anybody, in milliseconds since 1970.
+    /// The time of the latest forget order that any courier reported, in milliseconds since 1970.
     pub forgotten_until_ms: Option<u64>,
-    /// Couriers that honour both, by number.
+    /// Couriers that honour both, by courier number.
     pub honoured_by: Vec<u64>,
-    /// Couriers that were heard lately and do not, with the version that they honour.
+    /// Couriers that were heard recently and do not honour both, with the version that they honour.
     pub not_by: BTreeMap<u64, u64>,
-    /// Couriers that were not heard lately, and since when, in milliseconds since 1970; none: never.
+    /// Couriers that were not heard recently, with the time of their last report in milliseconds since 1970; absent if they were
+    /// never heard.
     pub unheard: BTreeMap<u64, Option<u64>>,
-    /// When the oldest message ended that anybody is known to hold, in milliseconds since 1970.
+    /// When the oldest message ended that any courier is known to hold, in milliseconds since 1970.
     pub oldest_ms: Option<u64>,
-    /// Whoever has heard enough others knows it.
+    /// Whether so many couriers honour both that every courier that has heard a quorum of the others knows of them.
     pub in_force: bool,
-    /// By all.
+    /// Whether all couriers honour both.
     pub by_all: bool,
 }
 
-/// All of it.
+/// Status of retention, as this courier knows it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetentionStatus {
-    /// Now, in milliseconds since 1970.
+    /// The current time, in milliseconds since 1970.
     pub now_ms: u64,
-    /// The number of this courier.
+    /// Number of this courier.
     pub me: u64,
-    /// Why this courier keeps nothing, if its history is closed.
+    /// Why the history of this courier is closed and keeps nothing, if it is.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub closed: Option<String>,
-    /// Messages kept here.
+    /// Number of messages kept at this courier.
     pub kept: u64,
-    /// Deleted by age or order, dropped for want of room (of these under a hold), and not kept at all.
+    /// Number of messages deleted by age or by an order.
     pub deleted: u64,
-    /// Dropped for want of room.
+    /// Number of messages dropped because the history was full.
     pub dropped: u64,
-    /// Of these, under a hold.
+    /// Number of dropped messages that were under a hold.
     pub dropped_held: u64,
-    /// Not kept.
+    /// Number of ended messages that were not kept at all.
     pub unwritten: u64,
-    /// Enough others were heard in this life to show what is held.
+    /// Whether enough other couriers were heard in this process run for the courier to show the messages it keeps.
     pub informed: bool,
-    /// And lately enough to send anything again.
+    /// Whether they were heard recently enough for the courier to send messages again.
     pub fresh: bool,
-    /// By tenant.
+    /// One record per tenant.
     pub tenants: Vec<TenantRetention>,
-    /// By whom they are about.
+    /// Policies and forget orders, one per scope.
     pub policies: Vec<RetentionPolicy>,
 }
 
-/// Answers a call; `parts`: the path behind `/v1/retention`.
+/// Answers a request. `parts` is the path after `/v1/retention`, split at its slashes.
 pub fn answer(
-    courier: &Courier, words: &SettingsNames, method: &str, parts: &[&str], body: &[u8],
+    courier: &Courier, names: &SettingsNames, method: &str, parts: &[&str], body: &[u8],
 ) -> Result<(u16, serde_json::Value), Problem> {
     let order = match (method, parts) {
         ("GET", []) => None,
@@ -136,24 +137,24 @@
         (_, []) => return Err(Problem::new("method", 405, "not with this method", method)),
         _ => return Err(Problem::new("path", 404, "no such path", parts.join("/"))),
     };
-    let done: Option<Result<RetentionStatus, Problem>> = courier.with_history(|keeper, now| {
+    let result: Option<Result<RetentionStatus, Problem>> = courier.with_history(|keeper, now| {
         if let Some(order) = &order {
-            give(keeper, words, order, now)?;
+            apply_order(keeper, names, order, now)?;
         }
-        Ok(shape(keeper, words, now))
+        Ok(status(keeper, names, now))
     });
-    let off = || {
+    let history_unavailable = || {
         Problem::new("off", 409, "no history is kept here", "it is off, or another process has taken over")
     };
-    value(200, &done.ok_or_else(off)??)
+    ok_json(200, &result.ok_or_else(history_unavailable)??)
 }
 
 fn refused(detail: impl Into<String>) -> Problem {
     Problem::new("order", 422, "the order can't be given as it is", detail)
 }
 
-fn scope(words: &SettingsNames, whose: &RetentionScope) -> Result<Scope, Problem> {
-    let place = |what: &str, list: &[String], name: &Option<String>| match name {
+fn resolve_scope(names: &SettingsNames, whose: &RetentionScope) -> Result<Scope, Problem> {
+    let position = |what: &str, list: &[String], name: &Option<String>| match name {
         None => Ok(ANY),
         Some(name) => {
             let found = list.iter().position(|n| n == name).filter(|at| *at < usize::from(ANY));
@@ -163,40 +164,41 @@
         }
     };
     Ok(Scope {
-        tenant: place("tenant", &words.tenants, &whose.tenant)?,
-        class: place("class", &words.classes, &whose.class)?,
+        tenant: position("tenant", &names.tenants, &whose.tenant)?,
+        class: position("class", &names.classes, &whose.class)?,
         dest: whose.destination.unwrap_or(ANY),
     })
 }
 
-fn whose(words: &SettingsNames, scope: &Scope) -> RetentionScope {
-    let named = |list: &[String], place: u16| (place != ANY).then(|| SettingsNames::name_of(list, place));
+fn scope_names(names: &SettingsNames, scope: &Scope) -> RetentionScope {
+    let name =
+        |list: &[String], position: u16| (position != ANY).then(|| SettingsNames::name_of(list, position));
     RetentionScope {
-        tenant: named(&words.tenants, scope.tenant),
-        class: named(&words.classes, scope.class),
+        tenant: name(&names.tenants, scope.tenant),
+        class: name(&names.classes, scope.class),
         destination: Some(scope.dest).filter(|d| *d != ANY),
     }
 }
 
-fn give(
-    keeper: &mut Keeper, words: &SettingsNames, order: &RetentionOrder, now: Micros,
+fn apply_order(
+    keeper: &mut Keeper, names: &SettingsNames, order: &RetentionOrder, now: Micros,
 ) -> Result<(), Problem> {
     let skew = keeper.config.skew;
-    let closed = || Problem::new("closed", 507, "this courier's history is closed", "");
-    let book = keeper.history().ok_or_else(closed)?.book();
+    let history_closed = || Problem::new("closed", 507, "this courier's history is closed", "");
+    let book = keeper.history().ok_or_else(history_closed)?.book();
     let version = |scope: &Scope| book.entries().get(scope).map_or(0, Entry::version) + 1;
     let (scope, entry) = match order {
         RetentionOrder::Set { whose, keep_s, replays } => {
             if *keep_s > LONGEST {
                 return Err(refused(format!("keep_s: {LONGEST} at most")));
             }
-            let scope = scope(words, whose)?;
+            let scope = resolve_scope(names, whose)?;
             let hold = book.entries().get(&scope).is_some_and(|e| e.word().hold);
             let word = Word { version: version(&scope), replay: *replays > 0, replays: *replays, hold };
             (scope, book.reworded(scope, now, word, *keep_s))
         }
         RetentionOrder::Hold { whose, on } => {
-            let scope = scope(words, whose)?;
+            let scope = resolve_scope(names, whose)?;
             let known = book.entries().get(&scope).filter(|e| e.version() > 0);
             let known = known
                 .ok_or_else(|| refused("there is no policy of exactly this tenant, class and destination"))?;
@@ -208,7 +210,7 @@
             if until > now {
                 return Err(refused("until: that is still to come"));
             }
-            let scope = scope(words, whose)?;
+            let scope = resolve_scope(names, whose)?;
             let entry = book.forgetting(scope, until + skew, *despite_hold).map_err(|why| match why {
                 Refusal::Held => {
                     Problem::new("held", 409, "a hold covers a part of it", "say so, if it is meant")
@@ -218,11 +220,11 @@
             (scope, entry)
         }
     };
-    let room = book.entries().contains_key(&scope) || book.entries().len() < keeper.config.entries;
-    if !room {
+    let has_room = book.entries().contains_key(&scope) || book.entries().len() < keeper.config.entries;
+    if !has_room {
         return Err(Problem::new("full", 507, "there is no room for one more entry", ""));
     }
-    // Danger: what is known holds at once, but an order that is not written is gone with the process.
+    // The order takes effect at once, but if it can't be written to disk, it is lost when the process ends.
     match keeper.apply(now, &[(scope, entry)]) {
         true => Ok(()),
         false => Err(Problem::new(
@@ -234,28 +236,28 @@
     }
 }
 
-fn shape(keeper: &Keeper, words: &SettingsNames, now: Micros) -> RetentionStatus {
+fn status(keeper: &Keeper, names: &SettingsNames, now: Micros) -> RetentionStatus {
     let counts = keeper.counts();
     let ms = |at: Micros| at.0 / 1_000;
-    let forgot = |second: u32| (second > 0).then(|| u64::from(second) * 1_000);
-    let tenant = |h: Honoured| TenantRetention {
-        tenant: SettingsNames::name_of(&words.tenants, h.tenant),
-        version: h.version,
-        forgotten_until_ms: forgot(h.forgot),
-        by_all: h.by_all(),
-        in_force: h.in_force,
-        oldest_ms: h.oldest.map(ms),
-        unheard: h.unheard.into_iter().map(|(node, at)| (node, at.map(ms))).collect(),
-        honoured_by: h.by.into_iter().collect(),
-        not_by: h.not_by,
+    let forgotten_until_ms = |second: u32| (second > 0).then(|| u64::from(second) * 1_000);
+    let tenant = |honoured: Honoured| TenantRetention {
+        tenant: SettingsNames::name_of(&names.tenants, honoured.tenant),
+        version: honoured.version,
+        forgotten_until_ms: forgotten_until_ms(honoured.forgot),
+        by_all: honoured.by_all(),
+        in_force: honoured.in_force,
+        oldest_ms: honoured.oldest.map(ms),
+        unheard: honoured.unheard.into_iter().map(|(node, at)| (node, at.map(ms))).collect(),
+        honoured_by: honoured.by.into_iter().collect(),
+        not_by: honoured.not_by,
     };
     let policy = |(scope, entry): (&Scope, &Entry)| RetentionPolicy {
-        whose: whose(words, scope),
+        whose: scope_names(names, scope),
         version: entry.version(),
         keep_s: (entry.version() > 0).then(|| entry.keep(u32::MAX)),
         replays: if entry.word().replay { entry.word().replays } else { 0 },
         hold: entry.word().hold,
-        forgotten_until_ms: forgot(entry.forget()),
+        forgotten_until_ms: forgotten_until_ms(entry.forget()),
     };
     let book = keeper.history().map(|h| h.book());
     RetentionStatus {
--- a/src/control/schema.rs
+++ b/src/control/schema.rs
@@ -1,4 +1,4 @@
-//! What goes over the control channel: JSON with names in place of numbers, and problems (RFC 9457).
+//! The JSON documents of the control channel, with names in place of the core's numbers, and problem details (RFC 9457).
 
 use crate::api::Micros;
 use crate::core::draining::{Counts, Progress};
@@ -8,22 +8,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Names of what the core knows by number.
+/// The settings' names of classes and tenants, which the core knows by number.
 #[derive(Debug, Clone, Default)]
 pub struct SettingsNames {
-    /// Names of classes, by their position; one name may stand for several.
+    /// Names of classes, by position in the settings; several positions may have the same name.
     pub classes: Vec<String>,
-    /// Names of tenants, by their position.
+    /// Names of tenants, by position in the settings.
     pub tenants: Vec<String>,
 }
 
+/// The frontends that a scope can name, with their numbers.
 const FRONTS: [(&str, u8); 2] = [("platform", platform::FRONT), ("mail", mail::FRONT)];
 
-/// Whose messages, by name. What is absent means all.
+/// The messages that a drain covers, by name. A field that is absent matches all messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DrainScope {
-    /// `platform` or `mail`.
+    /// Name of the frontend: `platform` or `mail`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub front: Option<String>,
     /// Number of the destination.
@@ -37,11 +38,11 @@
     pub tenant: Option<String>,
 }
 
-/// A wish to drain. One of `by_ms` and `within_ms` must be there.
+/// A request to start a drain. Exactly one of `by_ms` and `within_ms` must be present.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct NewDrain {
-    /// Whose messages.
+    /// The messages that the drain covers.
     pub scope: DrainScope,
     /// The deadline, in milliseconds since 1970.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -49,117 +50,118 @@
     /// The deadline, in milliseconds from now.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub within_ms: Option<u64>,
-    /// Why.
+    /// Reason, for people who look at the drain.
     pub reason: String,
-    /// Where clients may go meanwhile: a URI.
+    /// A URI that clients may use during the drain.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub elsewhere: Option<String>,
 }
 
-/// How far a drain is.
+/// Progress of a drain.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DrainStatus {
-    /// Its number.
+    /// Number of the drain.
     pub id: u64,
     /// `draining`, `emptied`, `struck`, `struck_and_emptied`, `cancelled` or `closed`.
     pub state: String,
-    /// Whose messages.
+    /// The messages that the drain covers.
     pub scope: DrainScope,
-    /// When it was asked for, and its deadline, in milliseconds since 1970.
+    /// When the drain was requested, in milliseconds since 1970.
     pub since_ms: u64,
-    /// The deadline.
+    /// The deadline, in milliseconds since 1970.
     pub by_ms: u64,
-    /// Now, by the same clock.
+    /// The current time, by the same clock.
     pub now_ms: u64,
-    /// Why.
+    /// Reason, for people who look at the drain.
     pub reason: String,
-    /// Where clients may go meanwhile.
+    /// A URI that clients may use during the drain.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub elsewhere: Option<String>,
-    /// Messages in scope when it began.
+    /// Number of messages in scope when the drain began.
     pub at_start: u64,
-    /// Messages in scope that are still owed something.
+    /// Pending messages in scope, by state and in total.
     pub left: BTreeMap<String, u64>,
-    /// The same by class.
+    /// Pending messages by class, then by state.
     pub by_class: BTreeMap<String, BTreeMap<String, u64>>,
-    /// And by destination.
+    /// Pending messages by destination, then by state.
     pub by_dest: BTreeMap<u16, BTreeMap<String, u64>>,
-    /// Until when the last destination concerned has told to wait, in milliseconds since 1970.
+    /// The latest time until which one of the destinations concerned demanded a wait, in milliseconds since 1970.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub told_until_ms: Option<u64>,
-    /// Likely seconds to the end, and between which it lies nineteen times in twenty. No upper one: too few have ended.
+    /// Estimated seconds until no message is left: the likely value, and the lower and upper bound of the 95 % interval. There
+    /// is no upper bound while too few messages have ended.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub estimate_s: Option<(f64, f64, Option<f64>)>,
-    /// Messages that its strike gave up and handed back.
+    /// Number of messages that were given up at the deadline.
     pub given_up: u64,
-    /// Handed back.
+    /// Number of messages that were handed back to their clients at the deadline.
     pub handed_back: u64,
 }
 
 impl DrainStatus {
-    /// It turns messages away.
+    /// Whether the drain is active, that is, new messages in its scope are refused.
     pub fn is_on(&self) -> bool {
         !matches!(self.state.as_str(), "cancelled" | "closed")
     }
 
-    /// Messages left.
+    /// Number of pending messages in scope.
     pub fn total(&self) -> u64 {
         self.left.get("total").copied().unwrap_or(0)
     }
 }
 
-/// The instance as a whole.
+/// Status of the whole instance.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct InstanceStatus {
     /// Version of the program.
     pub version: String,
-    /// Its process.
+    /// Process id.
     pub pid: u32,
-    /// When it started, and now, in milliseconds since 1970.
+    /// When the process started, in milliseconds since 1970.
     pub started_ms: u64,
-    /// Now.
+    /// The current time, in milliseconds since 1970.
     pub now_ms: u64,
-    /// What the list of the platform's front rests on.
+    /// Phase of the registry behind the platform frontend's list of backends.
     pub register: String,
-    /// Messages that are owed something.
+    /// Number of pending messages.
     pub owed: u64,
-    /// Backends known.
+    /// Number of known backends.
     pub backends: u64,
-    /// It has been told to end.
+    /// Whether the process has been told to end.
     pub ending: bool,
-    /// Connections of clients, by listener.
+    /// Client connections, by listener.
     #[serde(default)]
     pub clients: BTreeMap<String, AcceptorStats>,
-    /// Drains that are on.
+    /// Active drains.
     pub drains: Vec<DrainStatus>,
-    /// What the fleet believes, where state is shared.
+    /// State of the shared health, if the instance takes part in it.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shared: Option<serde_json::Value>,
 }
 
-/// What went wrong (RFC 9457).
+/// Problem details of a failed request (RFC 9457).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Which kind; see `docs/operators/control.md`.
+    /// URN of the kind; `docs/operators/control.md` lists them.
     #[serde(rename = "type")]
     pub kind: String,
-    /// In short.
+    /// Short summary of the kind of problem.
     pub title: String,
     /// The HTTP status.
     pub status: u16,
-    /// What exactly.
+    /// What was wrong with this request; may be empty.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub detail: String,
 }
 
 impl Problem {
-    /// A problem of a kind.
+    /// A problem of the kind `urn:indigohold:problem:{kind}`.
     pub fn new(kind: &str, status: u16, title: &str, detail: impl Into<String>) -> Problem {
         let kind = format!("urn:indigohold:problem:{kind}");
         Problem { kind, title: title.into(), status, detail: detail.into() }
     }
 
-    /// The last word of its kind.
+    /// The last part of the kind's URN.
     pub fn short_kind(&self) -> &str {
         self.kind.rsplit(':').next().unwrap_or_default()
     }
@@ -183,62 +185,62 @@
 }
 
 impl SettingsNames {
-    /// The scope of these names, or what is wrong with them.
-    pub fn resolve_scope(&self, shape: &DrainScope) -> Result<Scope, String> {
-        let front = match &shape.front {
+    /// Resolves the names of a scope to numbers. The error names the field that is wrong.
+    pub fn resolve_scope(&self, scope: &DrainScope) -> Result<Scope, String> {
+        let front = match &scope.front {
             None => None,
             Some(name) => {
                 let found = FRONTS.iter().find(|(n, _)| n == name);
                 Some(found.ok_or_else(|| format!("scope.front: {name:?} is no front"))?.1)
             }
         };
-        let places = |list: &[String], name: &String| -> Vec<u16> {
-            list.iter().enumerate().filter(|(_, n)| *n == name).map(|(place, _)| place as u16).collect()
+        let positions = |list: &[String], name: &String| -> Vec<u16> {
+            list.iter().enumerate().filter(|(_, n)| *n == name).map(|(position, _)| position as u16).collect()
         };
-        let classes = shape.class.as_ref().map_or(Vec::new(), |name| places(&self.classes, name));
-        if let (Some(name), true) = (&shape.class, classes.is_empty()) {
+        let classes = scope.class.as_ref().map_or(Vec::new(), |name| positions(&self.classes, name));
+        if let (Some(name), true) = (&scope.class, classes.is_empty()) {
             return Err(format!("scope.class: {name:?} is no class"));
         }
-        let tenant = match &shape.tenant {
+        let tenant = match &scope.tenant {
             None => None,
             Some(name) => {
-                let found = places(&self.tenants, name).first().copied();
+                let found = positions(&self.tenants, name).first().copied();
                 Some(found.ok_or_else(|| format!("scope.tenant: {name:?} is no tenant"))?)
             }
         };
-        Ok(Scope { front, dest: shape.dest, classes, tenant })
+        Ok(Scope { front, dest: scope.dest, classes, tenant })
     }
 
-    /// The wish, or what is wrong with it.
-    pub fn resolve_drain(&self, shape: NewDrain, now: Micros) -> Result<DrainRequest, String> {
-        let by = match (shape.by_ms, shape.within_ms) {
+    /// Checks a request for a drain and resolves its names and its deadline. The error names the field that is wrong.
+    pub fn resolve_drain(&self, drain: NewDrain, now: Micros) -> Result<DrainRequest, String> {
+        let deadline = match (drain.by_ms, drain.within_ms) {
             (Some(by), None) => Micros(by.saturating_mul(1000)),
             (None, Some(within)) => now + Micros(within.saturating_mul(1000)),
             _ => return Err("one of by_ms and within_ms must be there".into()),
         };
-        let plain = |name: &str, text: &str, ok: fn(char) -> bool| match text {
+        let check_text = |name: &str, text: &str, allowed: fn(char) -> bool| match text {
             t if t.len() > MAX_TEXT_BYTES => Err(format!("{name}: more than {MAX_TEXT_BYTES} bytes")),
-            t if !t.chars().all(ok) => Err(format!("{name}: not a plain text")),
+            t if !t.chars().all(allowed) => Err(format!("{name}: not a plain text")),
             _ => Ok(()),
         };
-        plain("reason", &shape.reason, |c| !c.is_control())?;
-        // Danger: it goes into a header's line of each refusal.
-        let uri = |c: char| c.is_ascii_graphic() && !"<>\"\\".contains(c);
-        plain("elsewhere", shape.elsewhere.as_deref().unwrap_or_default(), uri)?;
+        check_text("reason", &drain.reason, |c| !c.is_control())?;
+        // The address is written into a header of each refusal, so a control character in it could forge further headers.
+        let uri_char = |c: char| c.is_ascii_graphic() && !"<>\"\\".contains(c);
+        check_text("elsewhere", drain.elsewhere.as_deref().unwrap_or_default(), uri_char)?;
         Ok(DrainRequest {
-            scope: self.resolve_scope(&shape.scope)?,
-            deadline: by,
-            reason: shape.reason,
-            alternative_address: shape.elsewhere,
+            scope: self.resolve_scope(&drain.scope)?,
+            deadline,
+            reason: drain.reason,
+            alternative_address: drain.elsewhere,
         })
     }
 
-    /// The name at a place, or the place where it has none.
-    pub fn name_of(list: &[String], place: u16) -> String {
-        list.get(usize::from(place)).cloned().unwrap_or_else(|| format!("#{place}"))
+    /// The name at a position, or `#` and the position if it has no name.
+    pub fn name_of(list: &[String], position: u16) -> String {
+        list.get(usize::from(position)).cloned().unwrap_or_else(|| format!("#{position}"))
     }
 
-    fn scope_shape(&self, scope: &Scope) -> DrainScope {
+    fn scope_names(&self, scope: &Scope) -> DrainScope {
         let front = |number| FRONTS.iter().find(|(_, n)| *n == number).map(|(name, _)| (*name).to_owned());
         DrainScope {
             front: scope.front.and_then(front),
@@ -248,7 +250,7 @@
         }
     }
 
-    /// A drain as it is shown.
+    /// The status of a drain as the control channel shows it.
     pub fn drain_status(&self, progress: &Progress, now: Micros) -> DrainStatus {
         let drain = &progress.drain;
         let state = match (drain.stage, progress.is_empty()) {
@@ -266,16 +268,16 @@
         DrainStatus {
             id: drain.id,
             state: state.into(),
-            scope: self.scope_shape(&drain.scope),
+            scope: self.scope_names(&drain.scope),
             since_ms: drain.started_us / 1000,
             by_ms: drain.deadline_us / 1000,
             now_ms: now.0 / 1000,
             reason: drain.reason.clone(),
             elsewhere: drain.alternative_address.clone(),
             at_start: drain.at_start,
-            left: counts(&progress.left),
-            by_class: by_class.iter().map(|(name, c)| (name.clone(), counts(c))).collect(),
-            by_dest: progress.by_dest.iter().map(|(dest, c)| (*dest, counts(c))).collect(),
+            left: count_map(&progress.left),
+            by_class: by_class.iter().map(|(name, c)| (name.clone(), count_map(c))).collect(),
+            by_dest: progress.by_dest.iter().map(|(dest, c)| (*dest, count_map(c))).collect(),
             told_until_ms: progress.retry_after_until.map(|at| at.0 / 1000),
             estimate_s: progress.estimate.map(|e| {
                 let high = Some(e.high_s).filter(|s| s.is_finite());
@@ -287,8 +289,8 @@
     }
 }
 
-fn counts(counts: &Counts) -> BTreeMap<String, u64> {
-    let all = [
+fn count_map(counts: &Counts) -> BTreeMap<String, u64> {
+    let by_state = [
         ("total", counts.total),
         ("answering", counts.answering),
         ("waiting", counts.waiting),
@@ -296,5 +298,5 @@
         ("out", counts.in_flight),
         ("notice_owed", counts.notice_pending),
     ];
-    all.into_iter().map(|(name, n)| (name.to_owned(), n)).collect()
+    by_state.into_iter().map(|(name, n)| (name.to_owned(), n)).collect()
 }
--- a/src/control/server.rs
+++ b/src/control/server.rs
@@ -1,4 +1,5 @@
-//! The control channel's server: a listener on a Unix domain socket, a few small-stack threads, one request at a time.
+//! Server of the control channel: a listener on a Unix domain socket and a bounded number of session threads with small
+//! stacks. A session handles one request at a time.
 
 use super::config::ControlConfig;
 use super::schema::{DrainStatus, InstanceStatus, NewDrain, Problem, SettingsNames};
@@ -23,27 +24,29 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// How long a request may take to come in, a session to idle, and an answer to be written.
-/// How long to wait where a session could not be let in.
-const ACCEPT_AGAIN: std::time::Duration = std::time::Duration::from_millis(20);
-const REQUEST: Micros = Micros(5_000_000);
-const WRITE: Micros = Micros(5_000_000);
+/// Pause after a failed accept.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(20);
+/// Longest time until a whole request has arrived, counted from the previous answer; it limits idle sessions too.
+const REQUEST_TIMEOUT: Micros = Micros(5_000_000);
+/// Longest time to write an answer.
+const WRITE_TIMEOUT: Micros = Micros(5_000_000);
 
-struct Control {
+struct ControlServer {
     courier: Arc<Courier>,
-    words: SettingsNames,
-    doors: Vec<AcceptorHandle>,
+    names: SettingsNames,
+    acceptors: Vec<AcceptorHandle>,
     fleet: Option<Asker>,
     shared: Option<Arc<Published>>,
     pool: BufferPool,
     started: Micros,
-    open: AtomicUsize,
-    most: usize,
+    open_sessions: AtomicUsize,
+    max_sessions: usize,
 }
 
-/// Takes the socket's path: one that nobody listens on any more is replaced, one that is in use or is no socket is left
-/// alone and is an error. The socket is put in place by a rename, with its permissions set: nobody but its owner can
-/// ever connect. `take_over`: whoever listens there has handed over.
+/// Binds the listener to the socket's path. A socket file without a listener is replaced. A socket that is in use and a file
+/// that is no socket are left alone, and the call fails. The socket is created under a temporary name, gets its permissions,
+/// and is then renamed, so only its owner can connect at any time. `take_over`: the process that listens on the path has
+/// handed over to this one, so its socket is replaced although it is in use.
 pub fn bind(path: &Path, take_over: bool) -> io::Result<UnixListener> {
     match fs::symlink_metadata(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => {}
@@ -63,87 +66,94 @@
     if let Some(folder) = path.parent().filter(|p| !p.as_os_str().is_empty()) {
         fs::create_dir_all(folder)?;
     }
-    let mut name = path.as_os_str().to_owned();
-    name.push(format!(".{}", std::process::id()));
-    let new = Path::new(&name);
-    let _ = fs::remove_file(new); // of a process of the same number, long gone
-    let listener = UnixListener::bind(new)?;
-    fs::set_permissions(new, fs::Permissions::from_mode(0o600))?;
-    fs::rename(new, path)?;
+    let mut temporary_path = path.as_os_str().to_owned();
+    temporary_path.push(format!(".{}", std::process::id()));
+    let temporary_path = Path::new(&temporary_path);
+    // An earlier process with the same process id may have left this file behind.
+    let _ = fs::remove_file(temporary_path);
+    let listener = UnixListener::bind(temporary_path)?;
+    fs::set_permissions(temporary_path, fs::Permissions::from_mode(0o600))?;
+    fs::rename(temporary_path, path)?;
     Ok(listener)
 }
 
-/// Starts the listener.
+/// Binds the socket and starts the thread that accepts sessions. See [`bind`] for `take_over`.
 pub fn serve(
-    courier: &Arc<Courier>, config: &ControlConfig, words: SettingsNames, doors: Vec<AcceptorHandle>,
+    courier: &Arc<Courier>, config: &ControlConfig, names: SettingsNames, acceptors: Vec<AcceptorHandle>,
     shared: Option<Arc<Published>>, fleet: Option<Asker>, take_over: bool,
 ) -> io::Result<()> {
     let listener = bind(&config.socket, take_over)?;
     tracing::info!(target: "control", "control on {}", config.socket.display());
-    let control = Arc::new(Control {
+    let control = Arc::new(ControlServer {
         courier: courier.clone(),
-        words,
-        doors,
+        names,
+        acceptors,
         fleet,
         shared,
         pool: BufferPool::new(2),
         started: courier.clock.now(),
-        open: AtomicUsize::new(0),
-        most: config.sessions,
+        open_sessions: AtomicUsize::new(0),
+        max_sessions: config.sessions,
     });
     spawn("control", move || loop {
         let stream = match listener.accept() {
             Ok((stream, _)) => stream,
             Err(e) if accept_fault(&e) == AcceptFault::ConnectionLost => continue,
             Err(_) => {
-                std::thread::sleep(ACCEPT_AGAIN);
+                std::thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             }
         };
-        if control.open.fetch_add(1, Ordering::SeqCst) >= control.most {
-            control.open.fetch_sub(1, Ordering::SeqCst);
+        if control.open_sessions.fetch_add(1, Ordering::SeqCst) >= control.max_sessions {
+            control.open_sessions.fetch_sub(1, Ordering::SeqCst);
             let problem = Problem::new("busy", 503, "too many sessions", "");
-            // An error says that the client is gone.
-            let _ = control.say(&stream, 503, "application/problem+json", &problem, true);
+            // An error means that the client has disconnected.
+            let _ = control.write_response(&stream, 503, "application/problem+json", &problem, true);
             continue;
         }
         let shared = control.clone();
         let started = spawn("control-session", move || {
-            // An error says that the connection broke: there is nobody to tell.
-            let _ = shared.session(&stream);
-            shared.open.fetch_sub(1, Ordering::SeqCst);
+            // An error means that the connection broke, so it can't be reported to the client.
+            let _ = shared.run_session(&stream);
+            shared.open_sessions.fetch_sub(1, Ordering::SeqCst);
         });
         if started.is_err() {
-            control.open.fetch_sub(1, Ordering::SeqCst);
+            control.open_sessions.fetch_sub(1, Ordering::SeqCst);
         }
     })
     .map(|_| ())
 }
 
-impl Control {
-    fn within(&self, span: Micros) -> std::time::Instant {
+impl ControlServer {
+    fn deadline_in(&self, span: Micros) -> std::time::Instant {
         let clock = &self.courier.clock;
         clock.instant(clock.now() + span)
     }
 
-    fn session(&self, stream: &UnixStream) -> io::Result<()> {
+    fn run_session(&self, stream: &UnixStream) -> io::Result<()> {
         let mut buf = self.pool.get();
         let mut filled = 0;
         loop {
-            let until = self.within(REQUEST);
+            let until = self.deadline_in(REQUEST_TIMEOUT);
             let head = loop {
-                let room = match http::parse_request(&buf[..filled]) {
-                    Err(bad) => {
-                        let status = bad.status();
+                let needed_bytes = match http::parse_request(&buf[..filled]) {
+                    Err(malformed) => {
+                        let status = malformed.status();
                         let number = status.split(' ').next().and_then(|s| s.parse().ok()).unwrap_or(400);
                         let problem = Problem::new("request", number, "the request can't be read", status);
-                        return self.say(stream, number, "application/problem+json", &problem, true);
+                        return self.write_response(
+                            stream,
+                            number,
+                            "application/problem+json",
+                            &problem,
+                            true,
+                        );
                     }
                     Ok(Some(head)) if filled >= head.head_len + head.body_len => break head,
                     Ok(Some(head)) => (head.head_len + head.body_len).min(MAX_HEAD_BYTES + MAX_BODY_BYTES),
                     Ok(None) => MAX_HEAD_BYTES,
                 };
-                match conn::read(stream, &mut buf[filled..room], until)? {
+                match conn::read(stream, &mut buf[filled..needed_bytes], until)? {
                     0 => return Ok(()),
                     n => filled += n,
                 }
@@ -151,8 +161,16 @@
             let end = head.head_len + head.body_len;
             let path = head.path.split('?').next().unwrap_or_default();
             match self.answer(&head.method, path, &buf[head.head_len..end]) {
-                Ok((status, value)) => self.say(stream, status, "application/json", &value, head.close)?,
-                Err(p) => self.say(stream, p.status, "application/problem+json", &p, head.close)?,
+                Ok((status, value)) => {
+                    self.write_response(stream, status, "application/json", &value, head.close)?
+                }
+                Err(problem) => self.write_response(
+                    stream,
+                    problem.status,
+                    "application/problem+json",
+                    &problem,
+                    head.close,
+                )?,
             }
             if head.close {
                 return Ok(());
@@ -162,71 +180,71 @@
         }
     }
 
-    fn say(
-        &self, stream: &UnixStream, status: u16, kind: &str, value: &impl Serialize, close: bool,
+    fn write_response(
+        &self, stream: &UnixStream, status: u16, content_type: &str, value: &impl Serialize, close: bool,
     ) -> io::Result<()> {
         let body = serde_json::to_string(value).map_err(io::Error::other)?;
         let close = if close { "Connection: close\r\n" } else { "" };
         let text = format!(
-            "HTTP/1.1 {status} {}\r\nContent-Type: {kind}\r\n{close}Content-Length: {}\r\n\r\n{body}",
+            "HTTP/1.1 {status} {}\r\nContent-Type: {content_type}\r\n{close}Content-Length: {}\r\n\r\n{body}",
             if status < 300 { "OK" } else { "Problem" },
             body.len()
         );
-        conn::write_all(stream, text.as_bytes(), self.within(WRITE))
+        conn::write_all(stream, text.as_bytes(), self.deadline_in(WRITE_TIMEOUT))
     }
 
     fn answer(&self, method: &str, path: &str, body: &[u8]) -> Result<(u16, serde_json::Value), Problem> {
         let parts: Vec<&str> = path.trim_matches('/').split('/').collect();
-        let number = |text: &str| text.parse::<u64>().map_err(|_| Problem::from(Refusal::Unknown));
+        let drain_id = |text: &str| text.parse::<u64>().map_err(|_| Problem::from(Refusal::Unknown));
         match (method, &parts[..]) {
-            ("GET", ["v1", "status"]) => value(200, &self.status()),
-            ("GET", ["v1", "drains"]) => value(200, &self.drains()),
-            ("POST", ["v1", "drains"]) => self.start(body),
+            ("GET", ["v1", "status"]) => ok_json(200, &self.status()),
+            ("GET", ["v1", "drains"]) => ok_json(200, &self.drain_statuses()),
+            ("POST", ["v1", "drains"]) => self.start_drain(body),
             ("GET", ["v1", "drains", id]) => {
-                let progress = self.courier.drain(number(id)?).ok_or(Problem::from(Refusal::Unknown))?;
-                value(200, &self.shape(&progress))
+                let progress = self.courier.drain(drain_id(id)?).ok_or(Problem::from(Refusal::Unknown))?;
+                ok_json(200, &self.drain_status(&progress))
             }
             ("DELETE", ["v1", "drains", id]) => {
-                value(200, &self.shape(&self.courier.drain_cancel(number(id)?)?))
+                ok_json(200, &self.drain_status(&self.courier.drain_cancel(drain_id(id)?)?))
             }
             ("POST", ["v1", "drains", id, "close"]) => {
-                value(200, &self.shape(&self.courier.drain_close(number(id)?)?))
+                ok_json(200, &self.drain_status(&self.courier.drain_close(drain_id(id)?)?))
             }
             ("POST", ["v1", "ask"]) => {
-                value(200, &fleet_query::ask(self.fleet.as_ref(), &self.courier.clock, body)?)
+                ok_json(200, &fleet_query::ask(self.fleet.as_ref(), &self.courier.clock, body)?)
             }
             (_, ["v1", "status" | "drains"] | ["v1", "drains", _] | ["v1", "drains", _, "close"]) => {
                 Err(Problem::new("method", 405, "not with this method", format!("{method} {path}")))
             }
             (_, ["v1", "replays", ..]) => {
-                replay::answer(&self.courier, &self.words, method, &parts[2..], body)
+                replay::answer(&self.courier, &self.names, method, &parts[2..], body)
             }
             (_, ["v1", "retention", ..]) => {
-                retention::answer(&self.courier, &self.words, method, &parts[2..], body)
+                retention::answer(&self.courier, &self.names, method, &parts[2..], body)
             }
             _ => Err(Problem::new("path", 404, "no such path", path)),
         }
     }
 
-    fn shape(&self, progress: &Progress) -> DrainStatus {
-        self.words.drain_status(progress, self.courier.clock.now())
+    fn drain_status(&self, progress: &Progress) -> DrainStatus {
+        self.names.drain_status(progress, self.courier.clock.now())
     }
 
-    fn drains(&self) -> Vec<DrainStatus> {
-        self.courier.drains().iter().map(|p| self.shape(p)).collect()
+    fn drain_statuses(&self) -> Vec<DrainStatus> {
+        self.courier.drains().iter().map(|progress| self.drain_status(progress)).collect()
     }
 
-    fn start(&self, body: &[u8]) -> Result<(u16, serde_json::Value), Problem> {
+    fn start_drain(&self, body: &[u8]) -> Result<(u16, serde_json::Value), Problem> {
         let malformed =
             |detail: String| Problem::new("wish", 422, "the wish can't be granted as it is", detail);
-        let wish: NewDrain = serde_json::from_slice(body).map_err(|e| malformed(e.to_string()))?;
-        let wish = self.words.resolve_drain(wish, self.courier.clock.now()).map_err(malformed)?;
-        let (started, progress) = self.courier.drain_start(wish)?;
-        value(if started.updated { 200 } else { 201 }, &self.shape(&progress))
+        let drain: NewDrain = serde_json::from_slice(body).map_err(|e| malformed(e.to_string()))?;
+        let request = self.names.resolve_drain(drain, self.courier.clock.now()).map_err(malformed)?;
+        let (started, progress) = self.courier.drain_start(request)?;
+        ok_json(if started.updated { 200 } else { 201 }, &self.drain_status(&progress))
     }
 
     fn status(&self) -> InstanceStatus {
-        let drains = self.drains().into_iter().filter(DrainStatus::is_on).collect();
+        let drains = self.drain_statuses().into_iter().filter(DrainStatus::is_on).collect();
         InstanceStatus {
             version: env!("CARGO_PKG_VERSION").into(),
             pid: std::process::id(),
@@ -236,14 +254,20 @@
             owed: self.courier.owed() as u64,
             backends: self.courier.backends() as u64,
             ending: self.courier.is_stopping(),
-            clients: self.doors.iter().flat_map(|d| d.stats()).map(|(n, t)| (n.to_owned(), t)).collect(),
+            clients: self
+                .acceptors
+                .iter()
+                .flat_map(|a| a.stats())
+                .map(|(name, stats)| (name.to_owned(), stats))
+                .collect(),
             drains,
             shared: self.shared.as_ref().map(|shared| shared.json(self.courier.clock.now())),
         }
     }
 }
 
-pub(super) fn value(status: u16, of: &impl Serialize) -> Result<(u16, serde_json::Value), Problem> {
+/// A successful answer: the HTTP status and the value as JSON.
+pub(super) fn ok_json(status: u16, of: &impl Serialize) -> Result<(u16, serde_json::Value), Problem> {
     let value =
         serde_json::to_value(of).map_err(|e| Problem::new("internal", 500, "a fault", e.to_string()))?;
     Ok((status, value))
