--- a/src/shared/lease/mod.rs
+++ b/src/shared/lease/mod.rs
@@ -212,7 +212,7 @@
         self.known(from);
         // Danger: a stamp counts from when it was first heard; the same stamp again makes nothing younger.
         let old =
-            self.peers.get(&from).filter(|p| p.version.life == version.life && p.want.stamp >= want.stamp);
+            self.peers.get(&from).filter(|p| p.version.run == version.run && p.want.stamp >= want.stamp);
         let heard = old.map_or(now, |p| p.heard);
         let want = Want { stamp: old.map_or(want.stamp, |p| p.want.stamp), worth: want.worth.max(1), ..want };
         self.peers.insert(from, Peer { version, want, heard });
@@ -229,7 +229,7 @@
         let until = asked + self.terms.term;
         // Danger: what was said to be given back is never taken again: an older turn stays refused for as long as it
         // could be in force, since its stamp is no newer and it lapses no later.
-        let order = (version.life, loan.turn);
+        let order = (version.run, loan.turn);
         let late = self.held.get(&from).is_some_and(|h| h.order >= order);
         if late || until <= now || loan.amount > WHOLE || self.quiet.is_none() {
             return false;
@@ -316,7 +316,7 @@
         let loans: BTreeMap<Member, u32> = self.lent.iter().map(|(m, l)| (*m, l.said)).collect();
         for (to, amount) in plan::moves(self.me, &rows, &loans, &self.terms) {
             // Danger: a word that does not tell of the last change yet would be corrected by it in each round.
-            let word = self.peers.get(&to).map(|p| (p.version.life, p.want.stamp));
+            let word = self.peers.get(&to).map(|p| (p.version.run, p.want.stamp));
             let entry = self.lent.entry(to).or_default();
             if word.is_some_and(|word| std::mem::replace(&mut entry.moved, word) != word) {
                 self.lend(now, to, amount, out);
@@ -330,7 +330,7 @@
             self.lent.iter().filter(|(_, l)| l.said > 0).map(|(m, l)| (*m, l.said, l.echo)).collect();
         for (to, amount, echo) in all {
             let peer = self.peers.get(&to);
-            if peer.is_some_and(|p| (p.version.life, p.want.stamp) != echo) {
+            if peer.is_some_and(|p| (p.version.run, p.want.stamp) != echo) {
                 self.lend(now, to, amount, out);
             } else if peer.is_none_or(|p| now >= p.heard + self.terms.term) {
                 self.lent.entry(to).or_default().said = 0;
@@ -342,7 +342,7 @@
         let Some(peer) = self.peers.get(&to) else { return };
         // Counted from the moment the stamp was heard, not from now: the holder's term began before that.
         let until = peer.heard + self.terms.lapse();
-        let echo = (peer.version.life, peer.want.stamp);
+        let echo = (peer.version.run, peer.want.stamp);
         let outstanding = self.outstanding(now);
         // Danger: never more than is owned, less what a new life of this member would use.
         let most = self.owned(now).saturating_sub(self.terms.safe().div_ceil(KEPT));
--- a/src/shared/mod.rs
+++ b/src/shared/mod.rs
@@ -1,7 +1,8 @@
-//! What the couriers share: budgets as leases, counts, judgements on endpoints. No I/O, no clock, no threads, no random
-//! source: a carrier brings what others said, and takes what this courier says of itself (`docs/design/shared.md`).
+//! State that couriers share: rate limits as leases, request counts, and the health of endpoints. No I/O, clock, threads or
+//! random source: the gossip layer delivers what peers published and takes what this courier publishes
+//! (`docs/design/shared.md`).
 //!
-//! Danger: nothing here may pass on what was heard. A courier publishes its own demand, loans, counters and evidence only.
+//! Nothing here may forward what was received: a courier publishes its own demand, loans, counters and evidence only.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,15 +11,15 @@
 pub mod lease;
 pub mod sharing;
 
-/// A courier's name among the others; the same over all its lives.
+/// Identifies a courier within the fleet; the same in all its process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member(pub u32);
 
-/// Which life of an owner said something, and the how-manieth thing that it was. Later lives have greater numbers.
+/// Orders the messages of one owner: by process run, then by a counter within the run. Later runs have greater numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct Version {
-    /// The life.
-    pub life: u64,
-    /// Rising within a life.
+    /// The process run.
+    pub run: u64,
+    /// Increases within a run.
     pub counter: u64,
 }
--- a/src/shared/sharing/hear.rs
+++ b/src/shared/sharing/hear.rs
@@ -5,7 +5,7 @@
 use crate::api::Micros;
 use crate::peers::rider::kinds;
 use crate::peers::{Peers, Said};
-use crate::shared::counts::{Tally, What};
+use crate::shared::counts::{CounterKey, Tally};
 use crate::shared::lease::{Back, Loan, Want};
 use crate::shared::{Member, Version};
 use serde::de::DeserializeOwned;
@@ -38,7 +38,7 @@
 
     fn take_in(&mut self, now: Micros, said: &Said) {
         let from = Member(u32::from(said.owner));
-        let version = Version { life: said.incarnation, counter: said.counter };
+        let version = Version { run: said.incarnation, counter: said.counter };
         match said.kind {
             kinds::WANT => {
                 let Some(want) = self.read::<Want>(said) else { return };
@@ -61,16 +61,16 @@
                 let Some(tally) = self.read::<Tally>(said) else { return };
                 let what = words::counted(said.id).filter(|_| words::sound_tally(&tally));
                 // A tenant that the settings here don't have is another deployment's.
-                let known = |what: &What| match what {
-                    What::Tenant(t) => self.facts.tenants.iter().any(|(known, _)| known == t),
-                    What::Destination(_) => true,
+                let known = |what: &CounterKey| match what {
+                    CounterKey::Tenant(t) => self.facts.tenants.iter().any(|(known, _)| known == t),
+                    CounterKey::Destination(_) => true,
                 };
                 let Some(what) = what.filter(known) else {
                     self.dropped.foreign += 1;
                     return;
                 };
                 let age = now - said.set_at;
-                let taken = self.counts.heard(now, from, version, age, what, tally);
+                let taken = self.counts.merge(now, from, version, age, what, tally);
                 self.dropped.old += u64::from(!taken);
             }
             _ => {
--- a/src/shared/sharing/mod.rs
+++ b/src/shared/sharing/mod.rs
@@ -18,7 +18,7 @@
 use crate::api::Micros;
 use crate::peers::rider::{kinds, Rider};
 use crate::peers::Peers;
-use crate::shared::counts::{self, Counts, What};
+use crate::shared::counts::{self, CounterKey, Counts};
 use crate::shared::judgement::{self, Evidence, Hand, Judgements, Saw};
 use crate::shared::lease::{self, Lease, Said, Start, WHOLE};
 use crate::shared::Member;
@@ -69,7 +69,7 @@
     /// Of each destination's limit.
     pub lease: lease::Terms,
     /// Of the counts.
-    pub counts: counts::Terms,
+    pub counts: counts::CountSettings,
     /// Of the judgements.
     pub judgements: judgement::Terms,
 }
@@ -80,13 +80,13 @@
         let more = |each: u64| Micros(u64::from(n.max(1)) * each);
         let lease = lease::Terms { term: Micros(1_200_000) + more(100_000), ..lease::Terms::exactly(n) };
         let every = Micros(500_000).max(more(50_000));
-        let counts = counts::Terms {
-            every,
-            window: Micros(10_000_000),
-            fresh: every.scale(5.0),
-            fade: every.scale(5.0),
-            most_age: every.scale(5.0),
-            ..counts::Terms::of(n)
+        let counts = counts::CountSettings {
+            publish_interval: every,
+            rate_window: Micros(10_000_000),
+            fresh_for: every.scale(5.0),
+            half_life: every.scale(5.0),
+            max_age: every.scale(5.0),
+            ..counts::CountSettings::for_members(n)
         };
         Terms { matters: Matters::ALL, lease, counts, judgements: judgement::Terms::default() }
     }
@@ -113,7 +113,7 @@
     /// The newest version of each entry that was looked at, by kind, owner and number.
     seen: BTreeMap<(u8, u16, u32), (u64, u64)>,
     /// Counters as they were when they were last counted, and endpoints as they were last told of.
-    counted: BTreeMap<What, (u64, u64)>,
+    counted: BTreeMap<CounterKey, (u64, u64)>,
     told: BTreeMap<u64, OfEndpoint>,
     /// When a call of this courier was last turned away, by destination.
     turned_away: BTreeMap<u16, Micros>,
@@ -181,17 +181,18 @@
     fn learn(&mut self, now: Micros) {
         let facts = self.desk.facts();
         self.heed_hand(&facts.banned);
-        let tenants = facts.tenants.iter().map(|(t, asked)| (What::Tenant(*t), (*asked, 0)));
-        let calls = facts.destinations.iter().map(|d| (What::Destination(d.dest), (d.called, d.refused)));
+        let tenants = facts.tenants.iter().map(|(t, asked)| (CounterKey::Tenant(*t), (*asked, 0)));
+        let calls =
+            facts.destinations.iter().map(|d| (CounterKey::Destination(d.dest), (d.called, d.refused)));
         for (what, (asked, refused)) in tenants.chain(calls) {
-            if self.counted.len() >= counts::KEYS && !self.counted.contains_key(&what) {
+            if self.counted.len() >= counts::MAX_COUNTERS && !self.counted.contains_key(&what) {
                 continue;
             }
             let before = self.counted.insert(what, (asked, refused)).unwrap_or_default();
             let more = (asked.saturating_sub(before.0), refused.saturating_sub(before.1));
             match what {
-                What::Tenant(_) if more.0 > 0 => self.asked_at = Some(now),
-                What::Destination(dest) if more.1 > 0 => {
+                CounterKey::Tenant(_) if more.0 > 0 => self.asked_at = Some(now),
+                CounterKey::Destination(dest) if more.1 > 0 => {
                     self.turned_away.insert(dest, now);
                 }
                 _ => {}
@@ -307,8 +308,8 @@
 
     fn say_counts(&mut self, now: Micros, peers: &mut Peers) {
         // A fleet without traffic says nothing of it; where another has some, each says that it is there.
-        let own = self.asked_at.is_some_and(|at| now < at + self.terms.counts.window.scale(2.0));
-        let fleet = |(t, _): &(u16, u64)| self.counts.rate(now, What::Tenant(*t)).0.value > QUIET;
+        let own = self.asked_at.is_some_and(|at| now < at + self.terms.counts.rate_window.scale(2.0));
+        let fleet = |(t, _): &(u16, u64)| self.counts.rate(now, CounterKey::Tenant(*t)).0.value > QUIET;
         if !own && !self.facts.tenants.iter().any(fleet) {
             return;
         }
@@ -317,9 +318,9 @@
         let mut most: Vec<(u64, u16)> = self.facts.tenants.iter().map(|(t, asked)| (*asked, *t)).collect();
         most.sort_unstable_by(|a, b| b.cmp(a));
         let top: BTreeSet<u16> = most.into_iter().take(TENANTS).map(|(_, t)| t).collect();
-        let life = self.terms.counts.every.scale(20.0);
+        let life = self.terms.counts.publish_interval.scale(20.0);
         for (what, tally) in out {
-            if matches!(what, What::Tenant(t) if top.contains(&t)) {
+            if matches!(what, CounterKey::Tenant(t) if top.contains(&t)) {
                 let key = (kinds::TALLY, words::counter(what));
                 self.set(now, peers, key, &words::encode(&tally), life);
             }
--- a/src/shared/sharing/publish.rs
+++ b/src/shared/sharing/publish.rs
@@ -4,7 +4,7 @@
 use super::Sharing;
 use crate::api::Micros;
 use crate::peers::Peers;
-use crate::shared::counts::What;
+use crate::shared::counts::CounterKey;
 use crate::shared::judgement::{Belief, Trial};
 use crate::shared::lease::WHOLE;
 use crate::shared::Member;
@@ -23,12 +23,12 @@
         let terms = &self.terms.counts;
         let matters = self.terms.matters;
         let tenants = self.facts.tenants.iter().filter(|_| matters.tenants).filter_map(|(tenant, _)| {
-            let what = What::Tenant(*tenant);
+            let what = CounterKey::Tenant(*tenant);
             let (asked, _) = self.counts.rate(now, what);
-            let known = asked.coverage >= terms.least_coverage && asked.age <= terms.most_age;
+            let known = asked.coverage >= terms.min_coverage && asked.age <= terms.max_age;
             let own = self.counts.own_rate(what).0;
             let fleet = (asked.value / asked.coverage).max(own);
-            let until = now + (terms.most_age - asked.age);
+            let until = now + (terms.max_age - asked.age);
             let of = OfTenant { own, fleet, age: asked.age, coverage: asked.coverage, until };
             known.then_some((*tenant, of))
         });
--- a/src/shared/sharing/words.rs
+++ b/src/shared/sharing/words.rs
@@ -1,6 +1,6 @@
 //! Entries' forms: what fits into 48 bytes, and what is believed of what comes in.
 
-use crate::shared::counts::{Tally, What};
+use crate::shared::counts::{CounterKey, Tally};
 use crate::shared::judgement::Evidence;
 use crate::shared::lease::{Back, Loan, Want, WHOLE};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
@@ -58,25 +58,25 @@
 }
 
 /// The number of a counter's entry.
-pub fn counter(what: What) -> u32 {
+pub fn counter(what: CounterKey) -> u32 {
     match what {
-        What::Tenant(tenant) => u32::from(tenant),
-        What::Destination(dest) => 0x1_0000 | u32::from(dest),
+        CounterKey::Tenant(tenant) => u32::from(tenant),
+        CounterKey::Destination(dest) => 0x1_0000 | u32::from(dest),
     }
 }
 
 /// What is counted under that number.
-pub fn counted(id: u32) -> Option<What> {
+pub fn counted(id: u32) -> Option<CounterKey> {
     match id >> 16 {
-        0 => Some(What::Tenant(id as u16)),
-        1 => Some(What::Destination(id as u16)),
+        0 => Some(CounterKey::Tenant(id as u16)),
+        1 => Some(CounterKey::Destination(id as u16)),
         _ => None,
     }
 }
 
 /// Whether a counter can be true.
 pub fn sound_tally(tally: &Tally) -> bool {
-    tally.refused <= tally.asked && tally.asked < 1 << 48
+    tally.refused <= tally.requested && tally.requested < 1 << 48
 }
 
 /// Whether a loan or a return is for this courier.
--- a/tests/judgement.rs
+++ b/tests/judgement.rs
@@ -17,7 +17,7 @@
 fn hearing(words: &[Evidence]) -> Judgements {
     let mut judge = Judgements::new(Member(0), Terms::default());
     for (i, word) in words.iter().enumerate() {
-        let version = Version { life: 1, counter: 1 };
+        let version = Version { run: 1, counter: 1 };
         assert!(judge.heard(Micros(20 * S), Member(i as u32 + 1), version, E, Micros(0), *word));
     }
     judge
@@ -82,7 +82,7 @@
 fn a_good_word_opens_gently_and_a_false_one_only_once() {
     let mut judge = Judgements::new(Member(0), Terms::default());
     let hear = |j: &mut Judgements, at: u64, counter| {
-        j.heard(Micros(at), Member(1), Version { life: 1, counter }, E, Micros(0), said(Saw::Served, 0));
+        j.heard(Micros(at), Member(1), Version { run: 1, counter }, E, Micros(0), said(Saw::Served, 0));
     };
     judge.saw(Micros(20 * S), E, Saw::Out, Micros(21 * S));
     hear(&mut judge, 21 * S, 1);
@@ -109,7 +109,7 @@
             judge.heard(
                 Micros(S),
                 Member(7),
-                Version { life: 1, counter: *endpoint },
+                Version { run: 1, counter: *endpoint },
                 *endpoint,
                 Micros(0),
                 *word,
@@ -173,7 +173,7 @@
                 for to in (0..n).filter(|to| *to != i && to % groups == i % groups) {
                     if rng.next_u32() % 5 > 0 {
                         let at = now + 20_000 + u64::from(rng.next_u32() % 180_000);
-                        net.push((at, to, i, Version { life: 1, counter }, word));
+                        net.push((at, to, i, Version { run: 1, counter }, word));
                     }
                 }
             }
--- a/tests/lease_histories.rs
+++ b/tests/lease_histories.rs
@@ -119,7 +119,7 @@
             for said in out.drain(..) {
                 one.counter += 1;
                 self.said += 1;
-                let version = Version { life: one.life, counter: one.counter };
+                let version = Version { run: one.life, counter: one.counter };
                 let to = match said {
                     Said::Want(_) => None,
                     Said::Loan(l) => Some(l.to.0 as usize),
@@ -303,10 +303,10 @@
                     let (to, from) = (1 - i, Member(i as u32));
                     match said {
                         Said::Want(want) => {
-                            pair[to].heard_want(clock(to, t), from, Version { life: 1, counter }, want)
+                            pair[to].heard_want(clock(to, t), from, Version { run: 1, counter }, want)
                         }
                         Said::Loan(loan) => {
-                            pair[to].heard_loan(clock(to, t), from, Version { life: 1, counter }, loan);
+                            pair[to].heard_loan(clock(to, t), from, Version { run: 1, counter }, loan);
                         }
                         Said::Back(back) => pair[to].heard_back(from, back),
                     }
@@ -332,7 +332,7 @@
     );
     size(postcard::to_allocvec(&lease::Loan { to, amount: w, life, stamp: w, turn: w }).unwrap());
     size(postcard::to_allocvec(&lease::Back { to, life, turn: w }).unwrap());
-    size(postcard::to_allocvec(&counts::Tally { at: w, asked: life, refused: life }).unwrap());
+    size(postcard::to_allocvec(&counts::Tally { at_ms: w, requested: life, refused: life }).unwrap());
     let saw = judgement::Saw::Shut(w);
     size(
         postcard::to_allocvec(&judgement::Evidence { saw, since: w, life: w, tries: 65_535, tried: Some(w) })
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -95,7 +95,7 @@
                 let oldest = self.net.iter().position(same).unwrap();
                 self.net.remove(oldest);
             }
-            self.net.push((i, Version { life: self.lives[i], counter: self.counters[i] }, said));
+            self.net.push((i, Version { run: self.lives[i], counter: self.counters[i] }, said));
         }
     }
 }
--- a/tests/sharing_words.rs
+++ b/tests/sharing_words.rs
@@ -29,7 +29,7 @@
     let want = Want { want: 9, worth: 1, own: 0, held: 0, lent: 0, stamp: 0 };
     let much = Want { want: WHOLE + 1, ..want };
     let loan = Loan { to: Member(0), amount: WHOLE / 2, life: 1, stamp: 0, turn: 1 };
-    let tally = Tally { at: 1, asked: 5, refused: 0 };
+    let tally = Tally { at_ms: 1, requested: 5, refused: 0 };
     let mut cut = entry(1, &want);
     cut.pop();
     let mut longer = entry(1, &want);
