--- a/src/ask/rider.rs
+++ b/src/ask/rider.rs
@@ -4,8 +4,8 @@
 
 use super::{Courier, Kind, Latency, Stand, ENTRY_BYTES};
 use crate::api::Micros;
-use crate::peers::rider::{kinds, Rider};
-use crate::peers::{Peers, Standing};
+use crate::peers::payload::{kinds, GossipPayload};
+use crate::peers::{MemberStatus, Peers};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -102,7 +102,7 @@
                 news.insert((said.owner, kind), (version.0, version.1, said.value.to_vec()));
             }
         }
-        let holds = peers.get(kinds::HOLDS).filter(|said| said.id == 0 && !said.former);
+        let holds = peers.get(kinds::HELD_MESSAGES).filter(|said| said.id == 0 && !said.from_previous_run);
         let weights: BTreeMap<u16, f64> = holds
             .filter_map(|said| Some((said.owner, postcard::from_bytes::<u64>(&said.value).ok()? as f64)))
             .collect();
@@ -125,22 +125,22 @@
         let told = self.told_holds.map(|told| told as f64);
         let changed = told.is_none_or(|told| (holds as f64 - told).abs() > CHANGED * told.max(4.0));
         let value = postcard::to_allocvec(&holds).ok().filter(|_| changed);
-        if value.is_some_and(|value| peers.set(now, kinds::HOLDS, 0, &value)) {
+        if value.is_some_and(|value| peers.set(now, kinds::HELD_MESSAGES, 0, &value)) {
             self.told_holds = Some(holds);
         }
     }
 }
 
-fn stand(standing: Standing) -> Stand {
+fn stand(standing: MemberStatus) -> Stand {
     match standing {
-        Standing::Never => Stand::Unknown,
+        MemberStatus::Unknown => Stand::Unknown,
         // Suspected only: it is asked, and waited for as long as that is worth.
-        Standing::Here | Standing::Suspected => Stand::There,
-        Standing::Away => Stand::Away,
+        MemberStatus::Alive | MemberStatus::Suspected => Stand::There,
+        MemberStatus::Down => Stand::Away,
     }
 }
 
-impl Rider for AskRider {
+impl GossipPayload for AskRider {
     fn tick(&mut self, now: Micros, peers: &mut Peers) -> Micros {
         // After each note it is called, too; what it does costs a copy of who is there.
         if now >= self.next {
@@ -172,7 +172,7 @@
 mod tests {
     use super::super::{AskConfig, Desk, Part, Piece, Verdict};
     use super::*;
-    use crate::peers::{cluster, Config, To};
+    use crate::peers::{cluster, Config, Recipient};
 
     const S: u64 = 1_000_000;
 
@@ -186,8 +186,8 @@
             for i in 0..2 {
                 riders[i].tick(now, &mut members[i]);
                 for (to, bytes) in members[i].tick(now) {
-                    if matches!(to, To::All) || to == To::One(1 - i as u16) {
-                        let _ = members[1 - i].heard(now, Some(i as u16), &bytes);
+                    if matches!(to, Recipient::All) || to == Recipient::One(1 - i as u16) {
+                        let _ = members[1 - i].receive(now, Some(i as u16), &bytes);
                     }
                 }
             }
--- a/src/history/replay_rider.rs
+++ b/src/history/replay_rider.rs
@@ -8,8 +8,8 @@
 use super::said::{self, BACKS, GROUP, LINE, NOT, ORDER, WORDS};
 use super::store::put;
 use crate::api::Micros;
-use crate::peers::rider::{kinds, Rider, Speech};
-use crate::peers::{Peers, Said};
+use crate::peers::payload::{kinds, GossipPayload, PublishedEntries};
+use crate::peers::{PeerEntry, Peers};
 use std::collections::BTreeMap;
 
 /// It looks no more often than this: notes come in by the hundreds.
@@ -32,14 +32,14 @@
     /// Versions of others' entries that were taken in, by owner and number.
     heard: BTreeMap<(u16, u32), (u64, u64, bool)>,
     /// What this courier says.
-    speech: Speech,
+    speech: PublishedEntries,
 }
 
 impl<H: Held> Replaying<H> {
     /// For the member of this number.
     pub fn new(held: H, me: u16) -> Replaying<H> {
         let (looked, heard) = Default::default();
-        Replaying { held, talk: Talk { me, looked, heard, speech: Speech::new(kinds::REPLAY) } }
+        Replaying { held, talk: Talk { me, looked, heard, speech: PublishedEntries::new(kinds::REPLAY) } }
     }
 }
 
@@ -48,17 +48,18 @@
         // Danger: before the entries are read. Whoever was heard by now had all its entries here by now.
         let fresh = keeper.hearing.fresh(now);
         let Some((history, _)) = keeper.both() else { return BTreeMap::new() };
-        let is_new = |s: &Said| {
+        let is_new = |s: &PeerEntry| {
             s.owner != self.me
-                && self.heard.get(&(s.owner, s.id)) != Some(&(s.incarnation, s.counter, s.former))
+                && self.heard.get(&(s.owner, s.id)) != Some(&(s.incarnation, s.counter, s.from_previous_run))
         };
-        let mut new: Vec<Said> = peers.get(kinds::REPLAY).filter(is_new).collect();
+        let mut new: Vec<PeerEntry> = peers.get(kinds::REPLAY).filter(is_new).collect();
         // Orders first: the rest is of those that are known.
         new.sort_by_key(|s| said::which(s.id).1);
         let me = self.me;
         let taken = history.change(|orders| {
             let done = new.iter().filter(|s| hear(now, me, orders, s));
-            done.map(|s| ((s.owner, s.id), (s.incarnation, s.counter, s.former))).collect::<Vec<_>>()
+            done.map(|s| ((s.owner, s.id), (s.incarnation, s.counter, s.from_previous_run)))
+                .collect::<Vec<_>>()
         });
         // What could not be written is tried again.
         if let Ok(taken) = taken {
@@ -104,7 +105,7 @@
 }
 
 /// Takes in one entry of another; whether it is done with it.
-fn hear(now: Micros, me: u16, orders: &mut Orders, s: &Said) -> bool {
+fn hear(now: Micros, me: u16, orders: &mut Orders, s: &PeerEntry) -> bool {
     let (name, which) = said::which(s.id);
     if which == ORDER {
         let Some((given, part)) = said::decode(&s.value) else { return true };
@@ -115,7 +116,7 @@
         let Some(known) = orders.known.get_mut(&id) else { return false };
         let not = known.told.get(&s.owner).map_or_else(BTreeMap::new, |t| t.part.not.clone());
         let part = Part { not, ..part };
-        known.told.insert(s.owner, Told { part, at: s.set_at, former: s.former });
+        known.told.insert(s.owner, Told { part, at: s.set_at, former: s.from_previous_run });
         return true;
     }
     let Some(id) = orders.named(name) else { return false };
@@ -146,7 +147,7 @@
     true
 }
 
-impl<H: Held> Rider for Replaying<H> {
+impl<H: Held> GossipPayload for Replaying<H> {
     fn tick(&mut self, now: Micros, peers: &mut Peers) -> Micros {
         let Replaying { held, talk } = self;
         if now < talk.looked + LOOK {
@@ -158,7 +159,7 @@
             // What was said stands.
             return now + LOOK;
         }
-        talk.speech.say(now, peers, says);
+        talk.speech.publish(now, peers, says);
         now + AGAIN
     }
 
--- a/src/history/rider.rs
+++ b/src/history/rider.rs
@@ -5,8 +5,8 @@
 use super::retention::{decode, encode, Entry, Scope};
 use super::store::put;
 use crate::api::Micros;
-use crate::peers::rider::{kinds, Rider, Speech};
-use crate::peers::{Peers, Standing};
+use crate::peers::payload::{kinds, GossipPayload, PublishedEntries};
+use crate::peers::{MemberStatus, Peers};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The number of the entry with the digest.
@@ -57,7 +57,7 @@
     known: (u64, BTreeMap<Scope, Entry>),
     newest: VecDeque<Scope>,
     /// What this courier says.
-    speech: Speech,
+    speech: PublishedEntries,
     /// The turn of a large book: where, when it began, how long it takes, and the digests that stood then.
     turn: (usize, Micros, Micros, u64),
 }
@@ -66,7 +66,7 @@
     /// For the member of this number.
     pub fn new(held: H, me: u16) -> Retention<H> {
         let (looked, told, facts, known, newest) = Default::default();
-        let (speech, turn) = (Speech::new(kinds::RETENTION), (0, Micros(0), TURN, 0));
+        let (speech, turn) = (PublishedEntries::new(kinds::RETENTION), (0, Micros(0), TURN, 0));
         let talk = Talk { me, looked, told, facts, known, newest, speech, turn };
         Retention { held, talk }
     }
@@ -121,14 +121,14 @@
     /// Who stands where, and who was heard. Digests of others that differ, as one number.
     fn others(&mut self, now: Micros, peers: &Peers, keeper: &mut Keeper, mine: Option<u64>) -> u64 {
         let mut others: BTreeMap<u64, Other> = BTreeMap::new();
-        let seen: Vec<_> = peers.seen(now).collect();
+        let seen: Vec<_> = peers.member_views(now).collect();
         let mut digests: BTreeMap<u16, u64> = BTreeMap::new();
         for said in peers.get(kinds::RETENTION).filter(|s| s.owner != self.me) {
             let other = others.entry(u64::from(said.owner)).or_default();
             if said.id == DIGEST {
                 let now_living = seen.get(usize::from(said.owner)).is_some_and(|s| {
                     // Danger: a former life may have had a newer folder than the one that lives.
-                    s.incarnation == said.incarnation && !said.former
+                    s.incarnation == said.incarnation && !said.from_previous_run
                 });
                 let digest = postcard::from_bytes::<u64>(&said.value).ok().filter(|_| now_living);
                 digests.extend(digest.map(|d| (said.owner, d)));
@@ -140,22 +140,22 @@
         let mut differ = 0_u64;
         for (node, seen) in seen.iter().enumerate().filter(|(n, _)| *n != usize::from(self.me)) {
             let other = others.entry(node as u64).or_default();
-            other.alive = seen.alive;
+            other.alive = seen.last_alive;
             let digest = digests.get(&(node as u16)).copied();
             other.digest = digest;
-            match seen.hears {
+            match seen.last_heard_own {
                 // Danger: only with nothing lacking is its digest as young as its echo.
                 Some(at) if mine.is_some() && digest == mine && seen.whole => {
                     keeper.hearing.heard(node as u64, at)
                 }
                 _ => {}
             }
-            let differs = digest.filter(|d| Some(*d) != mine && seen.standing != Standing::Away);
+            let differs = digest.filter(|d| Some(*d) != mine && seen.standing != MemberStatus::Down);
             differ = differ.wrapping_mul(31).wrapping_add(differs.unwrap_or(0));
         }
         keeper.others = others;
         keeper.me = u64::from(self.me);
-        keeper.lately = peers.beat_every().scale(BEATS);
+        keeper.lately = peers.beat_interval().scale(BEATS);
         differ
     }
 
@@ -213,7 +213,7 @@
     entries.div_ceil(OTHERS).max(1)
 }
 
-impl<H: Held> Rider for Retention<H> {
+impl<H: Held> GossipPayload for Retention<H> {
     fn tick(&mut self, now: Micros, peers: &mut Peers) -> Micros {
         let Retention { held, talk } = self;
         if now < talk.looked + LOOK {
@@ -224,7 +224,7 @@
         if !held.with(&mut |keeper| says = talk.round(now, peers, keeper)) {
             return now + LOOK;
         }
-        talk.speech.say(now, peers, says);
+        talk.speech.publish(now, peers, says);
         now + AGAIN
     }
 
--- a/src/history/said.rs
+++ b/src/history/said.rs
@@ -1,4 +1,4 @@
-//! What couriers say of orders to send again: entries of at most [`VALUE`] bytes each. An order's number comes from what its
+//! What couriers say of orders to send again: entries of at most [`MAX_VALUE_BYTES`] bytes each. An order's number comes from what its
 //! entry says, so nobody can be told another order under the same number.
 
 use super::given::{Given, Part, Phase};
@@ -6,7 +6,7 @@
 use super::orders::NAMED;
 use super::replay::Not;
 use crate::api::Micros;
-use crate::peers::codec::VALUE;
+use crate::peers::codec::MAX_VALUE_BYTES;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -120,7 +120,7 @@
 
 /// As much of a text as an entry holds.
 pub fn words(text: &str) -> &str {
-    let end = (0..=VALUE.min(text.len())).rev().find(|at| text.is_char_boundary(*at));
+    let end = (0..=MAX_VALUE_BYTES.min(text.len())).rev().find(|at| text.is_char_boundary(*at));
     &text[..end.unwrap_or(0)]
 }
 
@@ -153,14 +153,14 @@
         let part =
             Part { phase: Phase::Done, left: n, taken: n, refused: n, passed: n, not: BTreeMap::new() };
         let bytes = encode(&given, &part);
-        assert!(bytes.len() <= VALUE, "{}", bytes.len());
+        assert!(bytes.len() <= MAX_VALUE_BYTES, "{}", bytes.len());
         let (read, its) = decode(&bytes).unwrap();
         assert_eq!((read.order.id(), &read, its), (given.order.id(), &given, part));
         let not: BTreeMap<Not, u64> = Not::ALL.iter().map(|why| (*why, u64::from(n))).collect();
-        assert!(encode_not(&not).len() <= VALUE);
+        assert!(encode_not(&not).len() <= MAX_VALUE_BYTES);
         assert_eq!(decode_not(&encode_not(&not)), Some(not));
         let kept: BTreeMap<u16, u64> = (0..40).map(|m| (m, 1 << 41)).collect();
-        assert!(encode_backs(5, &kept).len() <= VALUE);
+        assert!(encode_backs(5, &kept).len() <= MAX_VALUE_BYTES);
         assert_eq!(decode_back(5, &encode_backs(5, &kept), 33), Some(1 << 41));
         assert_eq!(decode_back(5, &encode_backs(5, &kept), 6), None);
         assert_eq!(words(&"é".repeat(30)).len(), 48);
--- a/src/net/peers/config.rs
+++ b/src/net/peers/config.rs
@@ -37,10 +37,10 @@
         let fleet = doc.text("fleet").unwrap_or_else(|| FLEET.to_owned());
         let ground = Config {
             cluster: cluster([fleet.as_str()]),
-            beat: Micros(doc.whole("beat_ms", d.beat.0 / 1_000, 200..=60_000) * 1_000),
-            floor_most: doc.number("floor_bytes_per_s", d.floor_most, 64.0..=1e6),
-            per_message: doc.number("bytes_per_message", d.per_message, 0.0..=4_096.0),
-            notes: doc.number("notes_per_s", d.notes, 1.0..=20_000.0),
+            beat_interval: Micros(doc.whole("beat_ms", d.beat_interval.0 / 1_000, 200..=60_000) * 1_000),
+            max_beat_bytes_per_s: doc.number("floor_bytes_per_s", d.max_beat_bytes_per_s, 64.0..=1e6),
+            bytes_per_message: doc.number("bytes_per_message", d.bytes_per_message, 0.0..=4_096.0),
+            messages_per_s: doc.number("notes_per_s", d.messages_per_s, 1.0..=20_000.0),
             ..d
         };
         // Danger: near a limit leased parts hand more back than each courier's own finding (`docs/operators/beliefs.md`).
--- a/src/net/peers/control.rs
+++ b/src/net/peers/control.rs
@@ -5,8 +5,8 @@
 use super::riders::Place;
 use crate::api::{Micros, PeerId};
 use crate::core::Courier;
-use crate::peers::rider::Rider;
-use crate::peers::{Config, Peers, To};
+use crate::peers::payload::GossipPayload;
+use crate::peers::{Config, Peers, Recipient};
 use std::sync::Arc;
 
 /// A view is published so often at most.
@@ -28,7 +28,7 @@
     /// Where this courier stands.
     pub place: Place,
     /// What rides on it.
-    pub riders: Vec<Box<dyn Rider>>,
+    pub riders: Vec<Box<dyn GossipPayload>>,
     /// For a folder that was put back from an older copy.
     pub claim: Claim,
 }
@@ -38,7 +38,7 @@
     courier: Arc<Courier>,
     peers: Peers,
     /// With the moment at which each wants to be called.
-    riders: Vec<(Micros, Box<dyn Rider>)>,
+    riders: Vec<(Micros, Box<dyn GossipPayload>)>,
     claim: Claim,
     claim_at: Micros,
     delivered: u64,
@@ -82,13 +82,13 @@
 
     /// A body came from the address of this neighbour; `false`: it was not believed.
     pub fn heard(&mut self, now: Micros, from: PeerId, body: &[u8]) -> bool {
-        let believed = self.peers.heard(now, Some(from.0), body).is_ok();
+        let believed = self.peers.receive(now, Some(from.0), body).is_ok();
         self.heard |= believed;
         believed
     }
 
     /// Does what is due; what is to be sent.
-    pub fn turn(&mut self, now: Micros) -> Vec<(To, Vec<u8>)> {
+    pub fn turn(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         let delivered = self.courier.board.delivered();
         let more = u32::try_from(delivered - self.delivered).unwrap_or(u32::MAX);
         self.delivered = delivered;
@@ -97,7 +97,7 @@
             self.claim_at = now + CLAIM;
             if let Some(incarnation) = (self.claim)(now, higher) {
                 tracing::warn!(target: "peers", incarnation, "the folder is an older copy's: a higher life is claimed");
-                self.peers.reborn(now, incarnation);
+                self.peers.adopt_incarnation(now, incarnation);
             }
         }
         let heard = std::mem::take(&mut self.heard);
@@ -129,7 +129,7 @@
     }
 
     /// One last word: this member is leaving, and no other life of it takes over.
-    pub fn leave(&mut self, now: Micros) -> Vec<(To, Vec<u8>)> {
+    pub fn leave(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         self.peers.leave(now)
     }
 
--- a/src/net/peers/mod.rs
+++ b/src/net/peers/mod.rs
@@ -13,7 +13,7 @@
 use crate::api::PeerId;
 use crate::config::PeerAddresses;
 use crate::core::{Courier, Note};
-use crate::peers::To;
+use crate::peers::Recipient;
 use control::{Control, Shared};
 use crossbeam_channel::{bounded, Receiver, Sender};
 use frame::Refused;
@@ -139,7 +139,8 @@
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
     let (orders, waiting) = bounded(QUEUE);
     let (going, gone) = bounded(0);
-    let rate = shared.as_ref().map_or_else(Rate::default, |shared| Rate::beside(shared.config.notes));
+    let rate =
+        shared.as_ref().map_or_else(Rate::default, |shared| Rate::beside(shared.config.messages_per_s));
     let control = shared.map(|shared| Control::new(courier, shared));
     let handle = Peers {
         orders,
@@ -279,11 +280,11 @@
         self.say_all(out);
     }
 
-    fn say_all(&self, bodies: Vec<(To, Vec<u8>)>) {
+    fn say_all(&self, bodies: Vec<(Recipient, Vec<u8>)>) {
         for (to, body) in bodies {
             let to = match to {
-                To::All => self.all(),
-                To::One(to) => {
+                Recipient::All => self.all(),
+                Recipient::One(to) => {
                     self.at.peers.iter().filter(|(id, _)| id.0 == to).map(|(_, addr)| *addr).collect()
                 }
             };
--- a/src/net/peers/published.rs
+++ b/src/net/peers/published.rs
@@ -1,7 +1,7 @@
 //! What the notes' thread believes, for readers on other threads: one pointer that is swapped. Neither waits for the other.
 
 use crate::api::Micros;
-use crate::peers::{Refusal, Seen, Snapshot, Standing};
+use crate::peers::{MemberStatus, MemberView, Refusal, Snapshot};
 use arc_swap::ArcSwap;
 use serde_json::{json, Value};
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -48,14 +48,14 @@
         let fleet = &view.fleet;
         let ms = |at: Micros| (now - at).0 / 1_000;
         let age = |at: Option<Micros>| at.map(ms);
-        let member = |(number, seen): (usize, &Seen)| {
+        let member = |(number, seen): (usize, &MemberView)| {
             json!({
                 "member": number, "standing": word(seen.standing), "since_ms": ms(seen.since),
-                "incarnation": seen.incarnation, "alive_ms": age(seen.alive), "heard_ms": age(seen.direct),
-                "hears_this_ms": age(seen.hears), "whole": seen.whole,
+                "incarnation": seen.incarnation, "alive_ms": age(seen.last_alive), "heard_ms": age(seen.last_direct),
+                "hears_this_ms": age(seen.last_heard_own), "whole": seen.whole,
             })
         };
-        let here = |seen: &&Seen| seen.standing == Standing::Here;
+        let here = |seen: &&MemberView| seen.standing == MemberStatus::Alive;
         let refused = Refusal::ALL.iter().zip(fleet.counts.refused);
         let refused: serde_json::Map<String, Value> =
             refused.map(|(why, n)| (format!("{why:?}").to_lowercase(), n.into())).collect();
@@ -65,11 +65,11 @@
             "me": fleet.me,
             "incarnation": fleet.members.get(usize::from(fleet.me)).map(|m| m.incarnation),
             "turn_ms": ms(self.turned()),
-            "view_ms": ms(fleet.taken),
+            "view_ms": ms(fleet.taken_at),
             "here": fleet.members.iter().filter(here).count(),
             "members": fleet.members.iter().enumerate().map(member).collect::<Vec<_>>(),
             "entries": fleet.entries.len(),
-            "of_former_lives": fleet.entries.iter().filter(|e| e.former).count(),
+            "of_former_lives": fleet.entries.iter().filter(|e| e.from_previous_run).count(),
             "superseded_by": fleet.superseded,
             "sent": {
                 "notes": fleet.counts.notes, "bytes": fleet.counts.bytes,
@@ -89,11 +89,11 @@
     }
 }
 
-fn word(standing: Standing) -> &'static str {
+fn word(standing: MemberStatus) -> &'static str {
     match standing {
-        Standing::Never => "never",
-        Standing::Here => "here",
-        Standing::Suspected => "suspected",
-        Standing::Away => "away",
+        MemberStatus::Unknown => "never",
+        MemberStatus::Alive => "here",
+        MemberStatus::Suspected => "suspected",
+        MemberStatus::Down => "away",
     }
 }
--- a/src/net/peers/riders.rs
+++ b/src/net/peers/riders.rs
@@ -5,7 +5,7 @@
 use crate::core::Courier;
 use crate::history::replay_rider::Replaying;
 use crate::history::rider::Retention;
-use crate::peers::rider::Rider;
+use crate::peers::payload::GossipPayload;
 use crate::shared::lease::Start;
 use crate::shared::sharing::{Matters, Sharing, Terms};
 use std::sync::Arc;
@@ -42,8 +42,8 @@
 /// publishes for itself. `learnt`: where questions are asked, what lies between them and the ground.
 pub fn riders(
     courier: &Arc<Courier>, place: Place, learnt: Option<ask::rider::Shared>,
-) -> Vec<Box<dyn Rider>> {
-    let mut all: Vec<Box<dyn Rider>> = Vec::new();
+) -> Vec<Box<dyn GossipPayload>> {
+    let mut all: Vec<Box<dyn GossipPayload>> = Vec::new();
     if let Some(learnt) = learnt {
         let board = courier.board.clone();
         all.push(Box::new(AskRider::new(learnt, move || board.read().pending)));
--- a/src/peers/private.rs
+++ b/src/peers/direct.rs
@@ -1,31 +1,31 @@
-//! Words for one member alone: the newest by receiver, kind and number, said again until it is taken or has lived its time.
+//! DirectUpdates for one member alone: the newest by receiver, kind and number, said again until it is taken or has lived its time.
 //! `docs/design/peers.md` says why it is cut so.
 //!
-//! **Bounds.** [`OUT`] words to be said and [`HEARD`] that were heard, of which the oldest goes first; [`OWED`] that are to be named as
+//! **Bounds.** [`MAX_OUTGOING`] words to be said and [`MAX_RECEIVED`] that were heard, of which the oldest goes first; [`MAX_PENDING_ACKS`] that are to be named as
 //! taken: what comes beyond is named when it comes again.
 
-use super::codec::{size, Private, Taken, Word};
-use super::{AGAIN, AGAIN_MOST};
+use super::codec::{encoded_len, DirectAck, DirectPayload, DirectUpdate};
+use super::{MAX_RETRY_DELAY, RETRY_DELAY};
 use crate::api::Micros;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Words to be said, at most.
-pub const OUT: usize = 256;
-/// Words heard, at most.
-pub const HEARD: usize = 1_024;
-/// Words to be named as taken, at most.
-pub const OWED: usize = 256;
+/// DirectUpdates to be said, at most.
+pub const MAX_OUTGOING: usize = 256;
+/// DirectUpdates heard, at most.
+pub const MAX_RECEIVED: usize = 1_024;
+/// DirectUpdates to be named as taken, at most.
+pub const MAX_PENDING_ACKS: usize = 256;
 /// What is said within such a time goes together.
-const GATHER: Micros = Micros(10_000);
+const BATCH_DELAY: Micros = Micros(10_000);
 /// No life says so many words: a turn beyond is from the future.
-const TURNS: u64 = 1 << 48;
+const MAX_TURN: u64 = 1 << 48;
 
 type Key = (u16, u8, u32);
 
 /// A word that is to be said.
 #[derive(Debug, Clone, PartialEq)]
-struct Out {
+struct OutgoingUpdate {
     turn: u64,
     value: Arc<[u8]>,
     set_at: Micros,
@@ -36,7 +36,7 @@
 
 /// A word that was heard.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Heard {
+pub struct ReceivedUpdate {
     /// The life that said it.
     pub incarnation: u64,
     /// Its turn in that life.
@@ -49,9 +49,9 @@
 
 /// What one life says to single members, and hears from them.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Words {
-    out: BTreeMap<Key, Out>,
-    heard: BTreeMap<Key, Heard>,
+pub struct DirectUpdates {
+    out: BTreeMap<Key, OutgoingUpdate>,
+    heard: BTreeMap<Key, ReceivedUpdate>,
     /// What was heard and is yet to be named as taken, with its turn.
     owed: BTreeMap<Key, u64>,
     turn: u64,
@@ -59,46 +59,49 @@
     last: u16,
 }
 
-impl Words {
+impl DirectUpdates {
     /// Says something to `to` until it is taken, at the latest until then. It replaces what was said with this kind and number.
     pub fn say(&mut self, now: Micros, to: u16, kind: u8, id: u32, value: &[u8], until: Micros) {
         self.turn += 1;
-        if self.out.len() >= OUT && !self.out.contains_key(&(to, kind, id)) {
+        if self.out.len() >= MAX_OUTGOING && !self.out.contains_key(&(to, kind, id)) {
             let oldest = self.out.iter().min_by_key(|(_, o)| o.turn).map(|(key, _)| *key);
             oldest.and_then(|key| self.out.remove(&key));
         }
-        let due = now + GATHER;
+        let due = now + BATCH_DELAY;
         let value = Arc::from(value);
-        self.out.insert((to, kind, id), Out { turn: self.turn, value, set_at: now, due, wait: AGAIN, until });
+        self.out.insert(
+            (to, kind, id),
+            OutgoingUpdate { turn: self.turn, value, set_at: now, due, wait: RETRY_DELAY, until },
+        );
     }
 
     /// A note's words came from this life of `from`; `late` is how much longer it took than the quickest. Says how many of them
     /// nobody can have said yet.
     pub fn heard(
-        &mut self, now: Micros, from: u16, incarnation: u64, late: Micros, private: &Private,
+        &mut self, now: Micros, from: u16, incarnation: u64, late: Micros, private: &DirectPayload,
     ) -> u64 {
         // Danger: a turn that is never reached would stand above all that are said later.
-        let sound = |word: &&Word| word.turn < TURNS;
+        let sound = |word: &&DirectUpdate| word.turn < MAX_TURN;
         for word in private.words.iter().filter(sound) {
             let key = (from, word.kind, word.id);
             let version = (incarnation, word.turn);
             let known = self.heard.get(&key).map(|h| (h.incarnation, h.turn));
             if known.is_none_or(|known| known < version) {
                 let set_at = now - late - Micros(u64::from(word.age) * 1_000);
-                if self.heard.len() >= HEARD && known.is_none() {
+                if self.heard.len() >= MAX_RECEIVED && known.is_none() {
                     let oldest = self.heard.iter().min_by_key(|(_, h)| h.set_at).map(|(key, _)| *key);
                     oldest.and_then(|key| self.heard.remove(&key));
                 }
                 let value = Arc::from(word.value.as_slice());
-                self.heard.insert(key, Heard { incarnation, turn: word.turn, value, set_at });
+                self.heard.insert(key, ReceivedUpdate { incarnation, turn: word.turn, value, set_at });
             }
             // Also what came twice: the first answer may be lost. The newest known covers all before it.
-            if self.owed.len() < OWED || self.owed.contains_key(&key) {
+            if self.owed.len() < MAX_PENDING_ACKS || self.owed.contains_key(&key) {
                 let newest = known.filter(|k| k.0 == incarnation).map_or(word.turn, |k| k.1.max(word.turn));
                 self.owed.insert(key, newest);
             }
         }
-        for Taken { kind, id, turn } in &private.taken {
+        for DirectAck { kind, id, turn } in &private.taken {
             // Danger: an answer to an older word says nothing of the one that has replaced it.
             if self.out.get(&(from, *kind, *id)).is_some_and(|out| out.turn <= *turn) {
                 self.out.remove(&(from, *kind, *id));
@@ -112,7 +115,7 @@
     pub fn renewed(&mut self, now: Micros, of: u16) {
         self.owed.retain(|key, _| key.0 != of);
         for (_, out) in self.out.range_mut((of, 0, 0)..=(of, u8::MAX, u32::MAX)) {
-            (out.due, out.wait) = (now, AGAIN);
+            (out.due, out.wait) = (now, RETRY_DELAY);
         }
     }
 
@@ -124,7 +127,7 @@
     }
 
     /// What was heard of this kind, by sender and number.
-    pub fn of(&self, kind: u8) -> impl Iterator<Item = (u16, u32, &Heard)> {
+    pub fn of(&self, kind: u8) -> impl Iterator<Item = (u16, u32, &ReceivedUpdate)> {
         self.heard.iter().filter(move |(key, _)| key.1 == kind).map(|(key, heard)| (key.0, key.2, heard))
     }
 
@@ -140,7 +143,7 @@
         self.out.retain(|_, out| now < out.until);
         self.owed.retain(|key, _| there(key.0));
         let away = self.out.iter_mut().filter(|(key, out)| out.due <= now && !there(key.0));
-        away.for_each(|(_, out)| out.due = now + AGAIN_MOST);
+        away.for_each(|(_, out)| out.due = now + MAX_RETRY_DELAY);
         let due = self.out.iter().filter(|(_, out)| out.due <= now).map(|(key, _)| key.0);
         let all = || due.clone().chain(self.owed.keys().map(|key| key.0));
         let next = all().filter(|to| *to > self.last).min().or_else(|| all().min())?;
@@ -149,26 +152,29 @@
     }
 
     /// What is said to `to` now, in so many bytes, for its life `to_life`; `spread` draws the wait before it is said again, from 0 to 1.
-    pub fn speak(&mut self, now: Micros, to: u16, to_life: u64, room: usize, spread: f64) -> Option<Private> {
-        let mut private = Private { to_life, ..Private::default() };
+    pub fn speak(
+        &mut self, now: Micros, to: u16, to_life: u64, room: usize, spread: f64,
+    ) -> Option<DirectPayload> {
+        let mut private = DirectPayload { to_life, ..DirectPayload::default() };
         // Two counters of a byte each grow to two.
-        let mut left = room.checked_sub(size(&private) + 2)?;
+        let mut left = room.checked_sub(encoded_len(&private) + 2)?;
         let range = (to, 0, 0)..=(to, u8::MAX, u32::MAX);
         let owed: Vec<_> = self.owed.range(range.clone()).map(|(key, turn)| (*key, *turn)).collect();
         for (key, turn) in owed {
-            let taken = Taken { kind: key.1, id: key.2, turn };
-            let Some(rest) = left.checked_sub(size(&taken)) else { break };
+            let taken = DirectAck { kind: key.1, id: key.2, turn };
+            let Some(rest) = left.checked_sub(encoded_len(&taken)) else { break };
             left = rest;
             self.owed.remove(&key);
             private.taken.push(taken);
         }
         for (key, out) in self.out.range_mut(range).filter(|(_, out)| out.due <= now) {
             let age = ((now - out.set_at).0 / 1_000).min(u64::from(u32::MAX)) as u32;
-            let word = Word { kind: key.1, id: key.2, turn: out.turn, age, value: out.value.to_vec() };
-            let Some(rest) = left.checked_sub(size(&word)) else { continue };
+            let word =
+                DirectUpdate { kind: key.1, id: key.2, turn: out.turn, age, value: out.value.to_vec() };
+            let Some(rest) = left.checked_sub(encoded_len(&word)) else { continue };
             left = rest;
             out.due = now + out.wait.scale(0.75 + 0.5 * spread);
-            out.wait = (out.wait + out.wait).min(AGAIN_MOST);
+            out.wait = (out.wait + out.wait).min(MAX_RETRY_DELAY);
             private.words.push(word);
         }
         (!private.words.is_empty() || !private.taken.is_empty()).then_some(private)
--- a/src/peers/entries.rs
+++ b/src/peers/entries.rs
@@ -1,21 +1,21 @@
 //! The entries of one owner, as one member has them. An entry's version is its owner's life and a counter that rises over all
 //! entries of that life; the higher version stands. `seen` says that nothing is lacking up to there.
 
-use super::codec::{size, Ask, Block, Item};
+use super::codec::{encoded_len, EntryBlock, EntryItem, EntryRequest};
 use crate::api::Micros;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 /// An owner has no more entries that stand.
-pub const PER_OWNER: usize = 64;
+pub const MAX_ENTRIES_PER_OWNER: usize = 64;
 /// Of those that were dropped so many are remembered.
-pub const TOMBS: usize = 32;
+pub const MAX_TOMBSTONES_PER_OWNER: usize = 32;
 /// A counter that is further above the known one is from the future.
-pub const AHEAD: u64 = 1 << 32;
+pub const MAX_COUNTER_JUMP: u64 = 1 << 32;
 
 /// One entry.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Held {
+pub struct StoredEntry {
     /// The life that set it.
     pub incarnation: u64,
     /// Its counter in that life; 0 while it was never sent.
@@ -28,7 +28,7 @@
 
 /// One owner's entries.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Shelf {
+pub struct OwnerEntries {
     /// The owner's highest life.
     pub incarnation: u64,
     /// Nothing of that life is lacking up to this counter.
@@ -36,7 +36,7 @@
     /// The highest counter that was told of.
     pub top: u64,
     /// By kind and number.
-    pub items: BTreeMap<(u8, u32), Held>,
+    pub items: BTreeMap<(u8, u32), StoredEntry>,
     /// Up to this counter, things are gone without a tombstone.
     pub(super) purged: u64,
     /// How far a sweep has come, and for which `purged` of its holder.
@@ -47,7 +47,7 @@
     pub former_until: Micros,
 }
 
-impl Shelf {
+impl OwnerEntries {
     /// A higher life: its numbers start anew. What former lives said stays until it is replaced, or until then.
     pub fn renew(&mut self, incarnation: u64, former_until: Micros) {
         if incarnation > self.incarnation {
@@ -63,13 +63,13 @@
     }
 
     /// What to ask for.
-    pub fn ask(&self, owner: u16) -> Ask {
-        Ask { owner, incarnation: self.incarnation, have: self.seen, sweep: self.sweep }
+    pub fn ask(&self, owner: u16) -> EntryRequest {
+        EntryRequest { owner, incarnation: self.incarnation, have: self.seen, sweep: self.sweep }
     }
 
     /// Takes in a block of this life's (a sound one; others change nothing). `late` is how much older it is than it says.
-    pub fn merge(&mut self, now: Micros, block: &Block, late: Micros) {
-        if block.incarnation != self.incarnation || block.to > self.top.saturating_add(AHEAD) {
+    pub fn merge(&mut self, now: Micros, block: &EntryBlock, late: Micros) {
+        if block.incarnation != self.incarnation || block.to > self.top.saturating_add(MAX_COUNTER_JUMP) {
             return;
         }
         for item in &block.items {
@@ -79,7 +79,7 @@
             if held.is_none_or(|h| (h.incarnation, h.counter) < version) {
                 let set_at = now - late - Micros(u64::from(item.age) * 1_000);
                 let value = item.value.as_deref().map(Arc::from);
-                let held = Held { incarnation: version.0, counter: version.1, set_at, value };
+                let held = StoredEntry { incarnation: version.0, counter: version.1, set_at, value };
                 self.items.insert((item.kind, item.id), held);
             }
         }
@@ -119,8 +119,9 @@
     /// Keeps to the bounds; true if something that stands was given up.
     fn bound(&mut self) {
         let life = self.incarnation;
-        let count = |s: &Shelf, tomb: bool| s.items.values().filter(|h| h.value.is_none() == tomb).count();
-        while count(self, true) > TOMBS {
+        let count =
+            |s: &OwnerEntries, tomb: bool| s.items.values().filter(|h| h.value.is_none() == tomb).count();
+        while count(self, true) > MAX_TOMBSTONES_PER_OWNER {
             let sent = self.items.iter().filter(|(_, h)| h.value.is_none() && h.counter > 0);
             let Some((key, counter)) = sent.map(|(k, h)| (*k, h.counter)).min_by_key(|(_, c)| *c) else {
                 break;
@@ -128,7 +129,7 @@
             self.items.remove(&key);
             self.purged = self.purged.max(counter);
         }
-        while count(self, false) > PER_OWNER {
+        while count(self, false) > MAX_ENTRIES_PER_OWNER {
             // Former lives' first, then the least urgent, then the oldest.
             let live = self.items.iter().filter(|(_, h)| h.value.is_some());
             let last = live.map(|(k, h)| (h.incarnation == life, std::cmp::Reverse(k.0), h.set_at, *k)).min();
@@ -148,8 +149,8 @@
     /// What stands above what the asker has, as much as takes up to `room` bytes; none if there is nothing to say or it can't be
     /// said. `skip` are keys that are about to be told anew.
     pub fn answer(
-        &self, now: Micros, ask: &Ask, room: usize, skip: impl Fn(&(u8, u32)) -> bool,
-    ) -> Option<Block> {
+        &self, now: Micros, ask: &EntryRequest, room: usize, skip: impl Fn(&(u8, u32)) -> bool,
+    ) -> Option<EntryBlock> {
         if ask.have >= self.seen || self.partial {
             return None;
         }
@@ -166,12 +167,18 @@
         let mut due: Vec<_> = due.collect();
         due.sort_by_key(|(_, h)| h.counter);
         let to = self.seen;
-        let mut block =
-            Block { owner: ask.owner, incarnation: self.incarnation, from: have, to, swept, items: vec![] };
-        let mut left = room.checked_sub(size(&block))?;
+        let mut block = EntryBlock {
+            owner: ask.owner,
+            incarnation: self.incarnation,
+            from: have,
+            to,
+            swept,
+            items: vec![],
+        };
+        let mut left = room.checked_sub(encoded_len(&block))?;
         for (key, held) in due {
             let item = item(now, *key, held, have);
-            let Some(rest) = left.checked_sub(size(&item)) else {
+            let Some(rest) = left.checked_sub(encoded_len(&item)) else {
                 // No further than what fits.
                 block.to = block.items.last().map(|i| have + i.step)?;
                 break;
@@ -183,22 +190,22 @@
     }
 }
 
-fn item(now: Micros, key: (u8, u32), held: &Held, from: u64) -> Item {
+fn item(now: Micros, key: (u8, u32), held: &StoredEntry, from: u64) -> EntryItem {
     let age = ((now - held.set_at).0 / 1_000).min(u64::from(u32::MAX)) as u32;
     let value = held.value.as_ref().map(|v| v.to_vec());
-    Item { kind: key.0, id: key.1, step: held.counter.saturating_sub(from), age, value }
+    EntryItem { kind: key.0, id: key.1, step: held.counter.saturating_sub(from), age, value }
 }
 
 /// A member's own entries. What is set gets its counter when it is first sent.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Own {
+pub struct LocalEntries {
     /// Those, `seen` and `top` being the newest counter that was given.
-    pub shelf: Shelf,
+    pub shelf: OwnerEntries,
     /// What is to be told, and since when.
     pub dirty: BTreeMap<(u8, u32), Micros>,
 }
 
-impl Own {
+impl LocalEntries {
     /// Sets an entry. False if there are too many; then nothing changes.
     pub fn set(&mut self, now: Micros, key: (u8, u32), value: Option<&[u8]>) -> bool {
         let shelf = &mut self.shelf;
@@ -206,7 +213,13 @@
         let standing = shelf.items.values().filter(|h| h.value.is_some()).count();
         let all = shelf.items.len();
         match value {
-            Some(_) if new && (standing >= PER_OWNER || all >= PER_OWNER + TOMBS) => return false,
+            Some(_)
+                if new
+                    && (standing >= MAX_ENTRIES_PER_OWNER
+                        || all >= MAX_ENTRIES_PER_OWNER + MAX_TOMBSTONES_PER_OWNER) =>
+            {
+                return false
+            }
             None if new => return true,
             _ => {}
         }
@@ -216,21 +229,22 @@
             self.dirty.remove(&key);
             return true;
         }
-        let held = Held { incarnation: shelf.incarnation, counter, set_at: now, value: value.map(Arc::from) };
+        let held =
+            StoredEntry { incarnation: shelf.incarnation, counter, set_at: now, value: value.map(Arc::from) };
         shelf.items.insert(key, held);
         self.dirty.entry(key).or_insert(now);
         true
     }
 
     /// A new life: everything that stands is to be told anew.
-    pub fn reborn(&mut self, now: Micros, incarnation: u64) {
+    pub fn adopt_incarnation(&mut self, now: Micros, incarnation: u64) {
         self.shelf.items.retain(|_, h| h.value.is_some());
         for held in self.shelf.items.values_mut() {
             (held.incarnation, held.counter) = (incarnation, 0);
         }
         let items = std::mem::take(&mut self.shelf.items);
         self.dirty = items.keys().map(|k| (*k, now)).collect();
-        self.shelf = Shelf { incarnation, items, ..Shelf::default() };
+        self.shelf = OwnerEntries { incarnation, items, ..OwnerEntries::default() };
     }
 
     /// How many bytes it would take to tell all that is new, about.
@@ -240,15 +254,15 @@
     }
 
     /// The next block of changes, the most urgent first, as much as takes up to `room` bytes: it gives them their counters.
-    pub fn changes(&mut self, now: Micros, owner: u16, room: usize) -> Option<Block> {
+    pub fn changes(&mut self, now: Micros, owner: u16, room: usize) -> Option<EntryBlock> {
         let shelf = &mut self.shelf;
         let urgency = |(key, since): (&(u8, u32), &Micros)| i64::from(key.0) - (now - *since).secs() as i64;
         let mut due: Vec<_> = self.dirty.iter().map(|d| (urgency(d), *d.0)).collect();
         due.sort();
         let (incarnation, from) = (shelf.incarnation, shelf.top);
         let mut block =
-            Block { owner, incarnation, from, to: from + due.len() as u64, swept: 0, items: vec![] };
-        let mut left = room.checked_sub(size(&block))?;
+            EntryBlock { owner, incarnation, from, to: from + due.len() as u64, swept: 0, items: vec![] };
+        let mut left = room.checked_sub(encoded_len(&block))?;
         for (_, key) in due {
             let Some(held) = shelf.items.get_mut(&key) else {
                 self.dirty.remove(&key);
@@ -256,7 +270,7 @@
             };
             let was = std::mem::replace(&mut held.counter, shelf.top + 1);
             let next = item(now, key, held, from);
-            let Some(rest) = left.checked_sub(size(&next)) else {
+            let Some(rest) = left.checked_sub(encoded_len(&next)) else {
                 held.counter = was;
                 continue;
             };
--- a/src/peers/rider.rs
+++ b/src/peers/payload.rs
@@ -8,19 +8,19 @@
 /// Kinds of entries, one rider each; a kind that is not known is carried on and read by nobody.
 pub mod kinds {
     /// What a courier wants of a limit.
-    pub const WANT: u8 = 1;
+    pub const DEMAND: u8 = 1;
     /// What it lends of its own share.
     pub const LOAN: u8 = 2;
     /// The newest turn of loans that it took.
-    pub const BACK: u8 = 3;
+    pub const LOAN_ACK: u8 = 3;
     /// Its counters.
-    pub const TALLY: u8 = 4;
+    pub const COUNTERS: u8 = 4;
     /// What it saw of an endpoint.
     pub const EVIDENCE: u8 = 5;
     /// How fast others answer its questions.
     pub const LATENCY: u8 = 6;
     /// What it holds, by channel or kind of question.
-    pub const HOLDS: u8 = 7;
+    pub const HELD_MESSAGES: u8 = 7;
     /// Retention: facts of the book, what is honoured, rounds of hearing.
     pub const RETENTION: u8 = 8;
     /// Replay orders: claims and stops.
@@ -28,8 +28,8 @@
 }
 
 /// One matter that couriers share.
-pub trait Rider: Send {
-    /// Takes in what others have said since and sets what this courier says itself. Returns the latest moment at which it wants
+pub trait GossipPayload: Send {
+    /// Takes in what others have said since and sets what this courier entries itself. Returns the latest moment at which it wants
     /// to be called again; it is called after each note that was taken in, too.
     fn tick(&mut self, now: Micros, peers: &mut Peers) -> Micros;
 
@@ -37,38 +37,38 @@
     fn figures(&self, now: Micros) -> serde_json::Value;
 }
 
-/// All that this courier says of one kind, so that only what changes is set.
+/// All that this courier entries of one kind, so that only what changes is set.
 #[derive(Debug)]
-pub struct Speech {
+pub struct PublishedEntries {
     kind: u8,
     /// By number, with when it was set.
-    said: BTreeMap<u32, (Vec<u8>, Micros)>,
+    published: BTreeMap<u32, (Vec<u8>, Micros)>,
 }
 
-impl Speech {
+impl PublishedEntries {
     /// Nothing yet, of one of [`kinds`].
-    pub fn new(kind: u8) -> Speech {
-        Speech { kind, said: BTreeMap::new() }
+    pub fn new(kind: u8) -> PublishedEntries {
+        PublishedEntries { kind, published: BTreeMap::new() }
     }
 
     /// What is said under a number, and since when.
     pub fn value(&self, id: u32) -> Option<(&[u8], Micros)> {
-        self.said.get(&id).map(|(value, at)| (value.as_slice(), *at))
+        self.published.get(&id).map(|(value, at)| (value.as_slice(), *at))
     }
 
     /// What is said from this number on.
     pub fn from(&self, first: u32) -> impl Iterator<Item = (u32, &[u8])> {
-        self.said.range(first..).map(|(id, (value, _))| (*id, value.as_slice()))
+        self.published.range(first..).map(|(id, (value, _))| (*id, value.as_slice()))
     }
 
     /// From now on this and nothing else is said.
-    pub fn say(&mut self, now: Micros, peers: &mut Peers, says: BTreeMap<u32, Vec<u8>>) {
-        for id in self.said.keys().filter(|id| !says.contains_key(id)) {
-            peers.drop(now, self.kind, *id);
+    pub fn publish(&mut self, now: Micros, peers: &mut Peers, entries: BTreeMap<u32, Vec<u8>>) {
+        for id in self.published.keys().filter(|id| !entries.contains_key(id)) {
+            peers.remove(now, self.kind, *id);
         }
         // Danger: what finds no room among a courier's entries must be said once there is some.
-        let mut before = std::mem::take(&mut self.said);
-        self.said = says
+        let mut before = std::mem::take(&mut self.published);
+        self.published = entries
             .into_iter()
             .filter_map(|(id, value)| match before.remove(&id) {
                 Some(old) if old.0 == value => Some((id, old)),
--- a/src/peers/send.rs
+++ b/src/peers/send.rs
@@ -1,28 +1,30 @@
-//! What is sent when.
+//! MessageKind is sent when.
 
 use super::budget::Aside;
-use super::codec::{self, size, Ask, Note, Top, HEAD};
-use super::{Chase, Micros, Peers, Standing, To, AGAIN_MOST, QUIET, TOPS};
+use super::codec::{self, encoded_len, EntryRequest, GossipMessage, MemberDigest, HEADER_BYTES};
+use super::{
+    Chase, MemberStatus, Micros, Peers, Recipient, MAX_DIGESTS_PER_BEAT, MAX_RETRY_DELAY, MIN_BEAT_BYTES,
+};
 use rand_core::RngCore;
 
 /// In one round no more datagrams go out.
-const ROUND: usize = 32;
+const MAX_DATAGRAMS_PER_TICK: usize = 32;
 /// A note to one is sent only with so much room, so that an entry of full length fits.
-const SMALL: usize = 128;
+const MIN_UNICAST_BYTES: usize = 128;
 
 /// Which count a note belongs to.
 #[derive(Clone, Copy)]
-enum What {
+enum MessageKind {
     Beat,
     Change,
-    Ask,
+    Request,
     Answer,
-    Private,
+    Direct,
 }
 
 impl Peers {
-    /// What is to be sent now. Call it when [`Peers::next_at`] says so, and after something was set or heard.
-    pub fn tick(&mut self, now: Micros) -> Vec<(To, Vec<u8>)> {
+    /// MessageKind is to be sent now. Call it when [`Peers::next_at`] says so, and after something was set or heard.
+    pub fn tick(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         let mut out = vec![];
         self.budget.on(now);
         self.fade(now);
@@ -33,7 +35,7 @@
         if now >= self.beat_at {
             self.beat(now, &mut out);
         }
-        while out.len() < ROUND {
+        while out.len() < MAX_DATAGRAMS_PER_TICK {
             // By turns, so that neither many changes nor many asks starve the other.
             let first = self.repairs_next;
             self.repairs_next = !first;
@@ -56,9 +58,9 @@
         }
         let change = self.own.dirty.values().min().map(|since| {
             let ready = self.budget.ready_at(self.others(), self.change_least(), self.aside());
-            ready.max(*since + self.config.gather)
+            ready.max(*since + self.config.batch_delay)
         });
-        let one = || self.budget.ready_at(1, SMALL, self.aside());
+        let one = || self.budget.ready_at(1, MIN_UNICAST_BYTES, self.aside());
         let chase = self.chases.values().map(|c| c.due).min().map(|due| due.max(one()));
         let answer = (!self.answers.is_empty() || !self.tell.is_empty()).then(one);
         let private = self.private.due().map(|due| due.max(one()));
@@ -67,11 +69,11 @@
     }
 
     /// One last note, to all: this member is leaving. Not where another life takes over.
-    pub fn leave(&mut self, now: Micros) -> Vec<(To, Vec<u8>)> {
+    pub fn leave(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         let mut out = vec![];
         if self.superseded.is_none() && self.others() > 0 {
-            let note = Note { next: 0, ..self.head(now) };
-            self.post(To::All, note, What::Beat, &mut out);
+            let note = GossipMessage { next: 0, ..self.head(now) };
+            self.post(Recipient::All, note, MessageKind::Beat, &mut out);
         }
         out
     }
@@ -98,102 +100,113 @@
         self.held -= gone;
     }
 
-    fn head(&self, now: Micros) -> Note {
+    fn head(&self, now: Micros) -> GossipMessage {
         // The next beat is at most a tenth later than the usual.
         let next = (self.beat.0 / 90_000).clamp(1, u64::from(u16::MAX)) as u16;
         let (from, incarnation, top) = (self.me, self.incarnation, self.own.shelf.top);
-        Note { from, incarnation, at: (now - self.born).0 / 1_000, next, top, ..Note::default() }
+        GossipMessage {
+            from,
+            incarnation,
+            at: (now - self.born).0 / 1_000,
+            next,
+            top,
+            ..GossipMessage::default()
+        }
     }
 
-    fn post(&mut self, to: To, mut note: Note, what: What, out: &mut Vec<(To, Vec<u8>)>) {
+    fn post(
+        &mut self, to: Recipient, mut note: GossipMessage, kind: MessageKind,
+        out: &mut Vec<(Recipient, Vec<u8>)>,
+    ) {
         note.top = self.own.shelf.top;
-        let Some(bytes) = codec::seal(self.config.cluster, &note) else { return };
-        let receivers = if to == To::All { self.others() } else { 1 };
+        let Some(bytes) = codec::encode(self.config.cluster, &note) else { return };
+        let receivers = if to == Recipient::All { self.others() } else { 1 };
         self.budget.spend(receivers, bytes.len());
         self.counts.notes += receivers as u64;
         self.counts.bytes += (receivers * bytes.len()) as u64;
-        self.counts.sent[what as usize] += 1;
-        self.counts.sent_bytes[what as usize] += (receivers * bytes.len()) as u64;
+        self.counts.sent[kind as usize] += 1;
+        self.counts.sent_bytes[kind as usize] += (receivers * bytes.len()) as u64;
         out.push((to, bytes));
     }
 
     /// Room left beside this note, 2 bytes kept back for counters that grow.
-    fn left(&self, note: &Note, room: usize) -> usize {
-        room.saturating_sub(HEAD + size(note) + 2)
+    fn left(&self, note: &GossipMessage, room: usize) -> usize {
+        room.saturating_sub(HEADER_BYTES + encoded_len(note) + 2)
     }
 
-    fn beat(&mut self, now: Micros, out: &mut Vec<(To, Vec<u8>)>) {
+    fn beat(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) {
         let none = Aside { at: now, notes: 0.0, bytes: 0.0 };
         let mut note = self.head(now);
         let known: Vec<u16> = (0..self.members.len() as u16).filter(|o| self.known(*o)).collect();
         let first = if known.is_empty() { 0 } else { self.rng.next_u32() as usize % known.len() };
         // A stride that is random, too, so that the same do not always go together.
-        let stride = if known.len() <= TOPS { 1 } else { known.len() / TOPS };
-        let drawn = (0..TOPS.min(known.len())).map(|i| known[(first + i * stride) % known.len()]);
-        let news: Vec<Top> = drawn.map(|owner| self.news(now, owner)).collect();
-        let quiet = HEAD + size(&note) + news.iter().map(size).sum::<usize>() + 2;
+        let stride = if known.len() <= MAX_DIGESTS_PER_BEAT { 1 } else { known.len() / MAX_DIGESTS_PER_BEAT };
+        let drawn =
+            (0..MAX_DIGESTS_PER_BEAT.min(known.len())).map(|i| known[(first + i * stride) % known.len()]);
+        let news: Vec<MemberDigest> = drawn.map(|owner| self.news(now, owner)).collect();
+        let quiet = HEADER_BYTES + encoded_len(&note) + news.iter().map(encoded_len).sum::<usize>() + 2;
         let least = self.start.beat(quiet, !(self.own.dirty.is_empty() && self.chases.is_empty()));
         let beats = self.others() as f64 / self.beat.secs();
-        self.budget.pace(self.start.rate(1.5 * beats * QUIET as f64));
-        let room = self.budget.room(self.others(), none).clamp(least, self.config.room);
-        let for_news = if self.others() > 1 { size(&self.news(now, self.me)) + 8 } else { 0 };
+        self.budget.pace(self.start.rate(1.5 * beats * MIN_BEAT_BYTES as f64));
+        let room = self.budget.room(self.others(), none).clamp(least, self.config.max_datagram_bytes);
+        let for_news = if self.others() > 1 { encoded_len(&self.news(now, self.me)) + 8 } else { 0 };
         let left = self.left(&note, room).saturating_sub(for_news);
         note.blocks.extend(self.own.changes(now, self.me, left));
         for news in news {
-            if size(&news) <= self.left(&note, room) {
+            if encoded_len(&news) <= self.left(&note, room) {
                 note.tops.push(news);
             }
         }
-        self.post(To::All, note, What::Beat, out);
+        self.post(Recipient::All, note, MessageKind::Beat, out);
         let spread = self.random();
         self.beat_at = now + self.beat.scale(0.9 + 0.2 * spread);
     }
 
     fn known(&self, owner: u16) -> bool {
-        owner != self.me && self.members[usize::from(owner)].alive.is_some()
+        owner != self.me && self.members[usize::from(owner)].last_alive.is_some()
     }
 
-    fn news(&self, now: Micros, owner: u16) -> Top {
+    fn news(&self, now: Micros, owner: u16) -> MemberDigest {
         let (member, shelf) = (&self.members[usize::from(owner)], &self.shelves[usize::from(owner)]);
-        let age = (now - member.alive.unwrap_or(now)).0 / 100_000;
-        // What can't be passed on is not announced: it would be asked for.
+        let age = (now - member.last_alive.unwrap_or(now)).0 / 100_000;
+        // MessageKind can't be passed on is not announced: it would be asked for.
         let top = if shelf.partial { 0 } else { shelf.seen };
         let age = age.min(u64::from(u32::MAX)) as u32;
-        Top { owner, incarnation: member.incarnation, top, stamp: member.stamp, age }
+        MemberDigest { owner, incarnation: member.incarnation, top, stamp: member.stamp, age }
     }
 
     fn change_least(&self) -> usize {
-        (self.own.wanted() + 32).clamp(QUIET, self.config.room * 3 / 4)
+        (self.own.wanted() + 32).clamp(MIN_BEAT_BYTES, self.config.max_datagram_bytes * 3 / 4)
     }
 
-    fn change(&mut self, now: Micros, out: &mut Vec<(To, Vec<u8>)>) -> bool {
+    fn change(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let Some(since) = self.own.dirty.values().min() else { return false };
-        let room = self.budget.room(self.others(), self.aside()).min(self.config.room);
-        if now < *since + self.config.gather || room < self.change_least() {
+        let room = self.budget.room(self.others(), self.aside()).min(self.config.max_datagram_bytes);
+        if now < *since + self.config.batch_delay || room < self.change_least() {
             return false;
         }
         let mut note = self.head(now);
         let left = self.left(&note, room);
         let Some(block) = self.own.changes(now, self.me, left) else { return false };
         note.blocks.push(block);
-        self.post(To::All, note, What::Change, out);
+        self.post(Recipient::All, note, MessageKind::Change, out);
         true
     }
 
     /// One note of those that mend what was lost.
-    fn repair(&mut self, now: Micros, out: &mut Vec<(To, Vec<u8>)>) -> bool {
-        let room = self.budget.room(1, self.aside()).min(self.config.room);
-        room >= SMALL
+    fn repair(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
+        let room = self.budget.room(1, self.aside()).min(self.config.max_datagram_bytes);
+        room >= MIN_UNICAST_BYTES
             && (self.say_old(now, out)
                 || self.speak(now, room, out)
                 || self.ask(now, room, out)
                 || self.answer(now, room, out))
     }
 
-    /// What is for one member alone.
-    fn speak(&mut self, now: Micros, room: usize, out: &mut Vec<(To, Vec<u8>)>) -> bool {
+    /// MessageKind is for one member alone.
+    fn speak(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let members = &self.members;
-        let there = |to: u16| members[usize::from(to)].standing(now) == Standing::Here;
+        let there = |to: u16| members[usize::from(to)].status(now) == MemberStatus::Alive;
         let Some(to) = self.private.next(now, there) else { return false };
         let (mut note, spread) = (self.head(now), self.random());
         let room = self.left(&note, room);
@@ -201,52 +214,52 @@
         note.private = self.private.speak(now, to, life, room, spread);
         let speaks = note.private.is_some();
         if speaks {
-            self.post(To::One(to), note, What::Private, out);
+            self.post(Recipient::One(to), note, MessageKind::Direct, out);
         }
         speaks
     }
 
-    fn say_old(&mut self, now: Micros, out: &mut Vec<(To, Vec<u8>)>) -> bool {
+    fn say_old(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let Some(member) = self.tell.pop_first() else { return false };
         let mut note = self.head(now);
         note.tops.push(self.news(now, member));
-        self.post(To::One(member), note, What::Answer, out);
+        self.post(Recipient::One(member), note, MessageKind::Answer, out);
         true
     }
 
     /// Whom to ask: the owner if it is heard, and whoever told of something newer, by turns.
     fn holder(&self, now: Micros, owner: u16, chase: &Chase) -> u16 {
-        let near = self.members[usize::from(owner)].near(now);
-        let there = |p: &u16| self.members[usize::from(*p)].standing(now) == Standing::Here;
+        let near = self.members[usize::from(owner)].is_direct(now);
+        let there = |p: &u16| self.members[usize::from(*p)].status(now) == MemberStatus::Alive;
         match chase.teller.filter(there) {
             Some(teller) if !near || chase.tries % 2 == 1 => teller,
             _ => owner,
         }
     }
 
-    fn ask(&mut self, now: Micros, room: usize, out: &mut Vec<(To, Vec<u8>)>) -> bool {
+    fn ask(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let due = self.chases.iter().filter(|(_, c)| c.due <= now);
         let due: Vec<_> = due.map(|(o, c)| (*o, self.holder(now, *o, c))).collect();
         let Some(&(_, to)) = due.first() else { return false };
         let mut note = self.head(now);
         for (owner, _) in due.iter().filter(|(_, holder)| *holder == to) {
-            let ask: Ask = self.shelves[usize::from(*owner)].ask(*owner);
-            if size(&ask) > self.left(&note, room) {
+            let ask: EntryRequest = self.shelves[usize::from(*owner)].ask(*owner);
+            if encoded_len(&ask) > self.left(&note, room) {
                 break;
             }
             note.asks.push(ask);
             let spread = self.random();
             if let Some(chase) = self.chases.get_mut(owner) {
                 chase.due = now + chase.wait.scale(0.75 + 0.5 * spread);
-                chase.wait = (chase.wait + chase.wait).min(AGAIN_MOST);
+                chase.wait = (chase.wait + chase.wait).min(MAX_RETRY_DELAY);
                 chase.tries += 1;
             }
         }
-        self.post(To::One(to), note, What::Ask, out);
+        self.post(Recipient::One(to), note, MessageKind::Request, out);
         true
     }
 
-    fn answer(&mut self, now: Micros, room: usize, out: &mut Vec<(To, Vec<u8>)>) -> bool {
+    fn answer(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         // The next asker after the last one, so that each has its turn.
         let after = self.answered.saturating_add(1);
         let mut next = self.answers.range((after, 0)..).chain(&self.answers);
@@ -283,7 +296,7 @@
             }
         }
         if !note.blocks.is_empty() {
-            self.post(To::One(to), note, What::Answer, out);
+            self.post(Recipient::One(to), note, MessageKind::Answer, out);
         }
         true
     }
--- a/src/shared/sharing/hear.rs
+++ b/src/shared/sharing/hear.rs
@@ -3,8 +3,8 @@
 use super::words::{self, For, Named};
 use super::Sharing;
 use crate::api::Micros;
-use crate::peers::rider::kinds;
-use crate::peers::{Peers, Said};
+use crate::peers::payload::kinds;
+use crate::peers::{PeerEntry, Peers};
 use crate::shared::counts::{CounterKey, Tally};
 use crate::shared::lease::{Back, Loan, Want};
 use crate::shared::{Member, Version};
@@ -18,7 +18,7 @@
         if self.seen.len() > SEEN {
             self.seen.clear();
         }
-        for kind in kinds::WANT..=kinds::EVIDENCE {
+        for kind in kinds::DEMAND..=kinds::EVIDENCE {
             for said in peers.get(kind) {
                 let version = (said.incarnation, said.counter);
                 let key = (kind, said.owner, said.id);
@@ -27,7 +27,7 @@
                 }
                 self.seen.insert(key, version);
                 // What a former life said of itself holds no more; the new one says it anew.
-                if said.former {
+                if said.from_previous_run {
                     self.dropped.old += 1;
                 } else {
                     self.take_in(now, &said);
@@ -36,11 +36,11 @@
         }
     }
 
-    fn take_in(&mut self, now: Micros, said: &Said) {
+    fn take_in(&mut self, now: Micros, said: &PeerEntry) {
         let from = Member(u32::from(said.owner));
         let version = Version { run: said.incarnation, counter: said.counter };
         match said.kind {
-            kinds::WANT => {
+            kinds::DEMAND => {
                 let Some(want) = self.read::<Want>(said) else { return };
                 let dest = u16::try_from(said.id).ok().filter(|_| words::sound_want(&want));
                 match dest.and_then(|dest| self.lease(dest)) {
@@ -53,11 +53,11 @@
                 let taken = self.lease(dest).is_some_and(|l| l.heard_loan(now, from, version, loan));
                 self.dropped.old += u64::from(!taken);
             }
-            kinds::BACK => {
+            kinds::LOAN_ACK => {
                 let Some((dest, back)) = self.for_me::<Back>(said) else { return };
                 self.lease(dest).into_iter().for_each(|l| l.heard_back(from, back));
             }
-            kinds::TALLY => {
+            kinds::COUNTERS => {
                 let Some(tally) = self.read::<Tally>(said) else { return };
                 let what = words::counted(said.id).filter(|_| words::sound_tally(&tally));
                 // A tenant that the settings here don't have is another deployment's.
@@ -86,14 +86,14 @@
         }
     }
 
-    fn read<T: DeserializeOwned>(&mut self, said: &Said) -> Option<T> {
+    fn read<T: DeserializeOwned>(&mut self, said: &PeerEntry) -> Option<T> {
         let read = words::decode(&said.value);
         self.dropped.malformed += u64::from(read.is_none());
         read
     }
 
     /// What is for this courier alone; of others' it is no business of this one's.
-    fn for_me<T: DeserializeOwned + For>(&mut self, said: &Said) -> Option<(u16, T)> {
+    fn for_me<T: DeserializeOwned + For>(&mut self, said: &PeerEntry) -> Option<(u16, T)> {
         let word: T = self.read(said)?;
         let Some(dest) = words::unpair(said.id, word.to()) else {
             self.dropped.foreign += 1;
--- a/src/shared/sharing/mod.rs
+++ b/src/shared/sharing/mod.rs
@@ -16,7 +16,7 @@
 use words::For;
 
 use crate::api::Micros;
-use crate::peers::rider::{kinds, Rider};
+use crate::peers::payload::{kinds, GossipPayload};
 use crate::peers::Peers;
 use crate::shared::counts::{self, CounterKey, Counts};
 use crate::shared::judgement::{self, Evidence, Hand, Judgements, Saw};
@@ -173,7 +173,7 @@
     /// For one alone, for as long as it can be in force.
     fn tell<T: For + Serialize>(&mut self, now: Micros, peers: &mut Peers, kind: u8, dest: u16, word: &T) {
         let (id, until) = (words::pair(dest, word.to()), now + self.terms.lease.term);
-        let told = peers.tell(now, word.to() as u16, kind, id, &words::encode(word), until);
+        let told = peers.send_to(now, word.to() as u16, kind, id, &words::encode(word), until);
         self.dropped.no_room += u64::from(!told);
     }
 
@@ -285,13 +285,13 @@
                     } else {
                         self.wanting.remove(&dest);
                     }
-                    let key = (kinds::WANT, u32::from(dest));
+                    let key = (kinds::DEMAND, u32::from(dest));
                     self.set(now, peers, key, &words::encode(&want), term.scale(3.0));
                 }
                 Said::Want(_) => {}
                 // For one alone: nobody else can use them, and to all they cost the fleet's number of notes.
                 Said::Loan(loan) => self.tell(now, peers, kinds::LOAN, dest, &loan),
-                Said::Back(back) => self.tell(now, peers, kinds::BACK, dest, &back),
+                Said::Back(back) => self.tell(now, peers, kinds::LOAN_ACK, dest, &back),
             }
         }
     }
@@ -321,7 +321,7 @@
         let life = self.terms.counts.publish_interval.scale(20.0);
         for (what, tally) in out {
             if matches!(what, CounterKey::Tenant(t) if top.contains(&t)) {
-                let key = (kinds::TALLY, words::counter(what));
+                let key = (kinds::COUNTERS, words::counter(what));
                 self.set(now, peers, key, &words::encode(&tally), life);
             }
         }
@@ -348,13 +348,13 @@
     }
 }
 
-impl Rider for Sharing {
+impl GossipPayload for Sharing {
     fn tick(&mut self, now: Micros, peers: &mut Peers) -> Micros {
         if peers.incarnation() != self.life {
             // Danger: the same process under another number is a new life to all others, whose loans name the old one.
             let start = Start::Again;
             // What was passed on to another process stays so.
-            let (open, (me, _)) = (self.desk.is_open(), peers.place());
+            let (open, (me, _)) = (self.desk.is_open(), peers.position());
             *self = Sharing::new(now, me, peers.incarnation(), self.terms.clone(), start, self.desk.clone());
             if !open {
                 self.desk.shut();
@@ -385,7 +385,7 @@
         let over: Vec<(u8, u32)> = self.said.iter().filter(|(_, at)| **at <= now).map(|(k, _)| *k).collect();
         for key in over {
             self.said.remove(&key);
-            peers.drop(now, key.0, key.1);
+            peers.remove(now, key.0, key.1);
         }
         // Danger: before what was lent leaves, it is out of use here.
         self.publish(now, peers);
--- a/src/shared/sharing/publish.rs
+++ b/src/shared/sharing/publish.rs
@@ -32,7 +32,7 @@
             let of = OfTenant { own, fleet, age: asked.age, coverage: asked.coverage, until };
             known.then_some((*tenant, of))
         });
-        let here: Vec<Member> = peers.here(now).map(|m| Member(u32::from(m))).collect();
+        let here: Vec<Member> = peers.alive_members(now).map(|m| Member(u32::from(m))).collect();
         let endpoints = self.facts.endpoints.iter().filter(|_| matters.endpoints).filter_map(|e| {
             let judged = self.judgements.judge(now, e.name);
             let trial = match self.judgements.trial(now, e.name, &here) {
@@ -62,7 +62,7 @@
         });
     }
 
-    /// As [`crate::peers::rider::Rider::figures`].
+    /// As [`crate::peers::payload::GossipPayload::figures`].
     pub(super) fn told_operators(&self, now: Micros) -> serde_json::Value {
         let Some(beliefs) = self.desk.beliefs() else { return serde_json::json!({}) };
         let ms = |time: Micros| time.0 / 1_000;
--- a/tests/history_spread.rs
+++ b/tests/history_spread.rs
@@ -14,7 +14,7 @@
 use indigohold::history::retention::{Scope, Word, ANY};
 use indigohold::history::rider::{Held, Retention};
 use indigohold::history::store::EndKind;
-use indigohold::peers::rider::{kinds, Rider};
+use indigohold::peers::payload::{kinds, GossipPayload};
 use indigohold::store::{EndedMessage, MessageState, Req};
 use indigohold::Micros;
 use notes::{Net, S};
--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -4,7 +4,7 @@
 #[path = "support/notes.rs"]
 mod notes;
 
-use indigohold::peers::{Peers, Refusal, Standing, To};
+use indigohold::peers::{MemberStatus, Peers, Recipient, Refusal};
 use indigohold::Micros;
 use notes::{Net, S};
 use std::collections::HashMap;
@@ -25,10 +25,10 @@
             for i in [1, 2] {
                 let at = self.local(i);
                 let Some(node) = &mut self.nodes[i] else { continue };
-                let _ = node.heard(at, Some(0), &bytes);
+                let _ = node.receive(at, Some(0), &bytes);
                 for (to, answer) in node.tick(at) {
-                    if to == To::One(0) {
-                        let _ = old.heard(now, Some(i as u16), &answer);
+                    if to == Recipient::One(0) {
+                        let _ = old.receive(now, Some(i as u16), &answer);
                     }
                 }
             }
@@ -100,7 +100,8 @@
         assert!(net.now < most, "{n}: what was said after the mass restart is not everywhere");
     }
     let told = (net.now - restarted) as f64 / S as f64;
-    let floor = net.nodes[0].as_ref().map_or(0.0, |p| 112.0 / p.beat_every().secs()) * ((n - 1) * n) as f64;
+    let floor =
+        net.nodes[0].as_ref().map_or(0.0, |p| 112.0 / p.beat_interval().secs()) * ((n - 1) * n) as f64;
     println!(
         "{n} members, {loss} % lost: first entries everywhere after {start:.1} s, one change after {change:.2} s, quiet {:.0} notes/s \
          {:.0} B/s, after a mass restart {:.0} notes/s {:.0} B/s, all told after {told:.0} s (floor {floor:.0} B/s)",
@@ -143,7 +144,7 @@
             println!("{n} members, a link cut (one way: {one_way}): round it after {took:.1} s");
             net.run(15 * S);
             let seen = net.view(2).members[0];
-            assert_eq!((seen.standing, seen.direct), (Standing::Here, None));
+            assert_eq!((seen.standing, seen.last_direct), (MemberStatus::Alive, None));
         }
     }
 }
@@ -158,8 +159,8 @@
     net.link = Box::new(|a, _| a != 0);
     net.run(20 * S);
     assert!(heard(&net).is_some_and(|ago| ago > 19.0), "{:?}", heard(&net));
-    assert!(net.view(0).members.iter().all(|m| m.standing == Standing::Here));
-    assert_eq!(net.view(1).members[0].standing, Standing::Away);
+    assert!(net.view(0).members.iter().all(|m| m.standing == MemberStatus::Alive));
+    assert_eq!(net.view(1).members[0].standing, MemberStatus::Down);
 }
 
 /// Guards against parts that don't find together again, and against a part that takes the others for present.
@@ -177,7 +178,7 @@
         let view = net.view(0);
         let share = view.coverage(net.local(0), Micros(10 * S), |_| 1.0);
         assert!((share - 1.0 / f64::from(parts)).abs() < 0.01, "{share}");
-        let away = view.members.iter().filter(|m| m.standing == Standing::Away).count();
+        let away = view.members.iter().filter(|m| m.standing == MemberStatus::Down).count();
         assert_eq!(away, 40 - 40 / usize::from(parts));
         let (same, other) = (usize::from(parts), 1);
         assert!(net.all_have(&[0], same, (1, 0), Some(b"meanwhile")));
@@ -196,11 +197,11 @@
         );
         net.run(20 * S);
         let view = net.view(0);
-        assert!(view.members.iter().all(|m| m.whole && m.standing != Standing::Never));
-        assert!(view.members[..20].iter().all(|m| m.standing == Standing::Here));
+        assert!(view.members.iter().all(|m| m.whole && m.standing != MemberStatus::Unknown));
+        assert!(view.members[..20].iter().all(|m| m.standing == MemberStatus::Alive));
         net.link = Box::new(|_, _| true);
         net.run(10 * S);
-        assert!(net.view(0).members.iter().all(|m| m.standing == Standing::Here && m.whole));
+        assert!(net.view(0).members.iter().all(|m| m.standing == MemberStatus::Alive && m.whole));
     }
 }
 
@@ -216,10 +217,10 @@
     net.at(0, |p, now| assert!(p.set(now, 1, 1, b"new")));
     net.run(5 * S);
     assert!(net.all_have(&[1, 2], 0, (1, 1), Some(b"new")), "the same keys are the new life's");
-    let said: Vec<_> = net.view(1).kind(1).map(|s| (s.id, s.former)).collect();
+    let said: Vec<_> = net.view(1).kind(1).map(|s| (s.id, s.from_previous_run)).collect();
     assert_eq!(said, [(1, false), (2, true)]);
     for (from, _, bytes) in &late {
-        net.at(1, |p, now| assert_eq!(p.heard(now, Some(*from), bytes), Err(Refusal::Old)));
+        net.at(1, |p, now| assert_eq!(p.receive(now, Some(*from), bytes), Err(Refusal::Old)));
     }
     assert!(net.all_have(&[1, 2], 0, (1, 1), Some(b"new")));
     // The old life still runs, and speaks once more: it is told, and is silent from then on.
@@ -239,7 +240,7 @@
     net.nodes[0] = Some(Peers::new(config, now, 0, 3, 1, 9));
     net.at(0, |p, now| assert!(p.set(now, 1, 1, b"put back")));
     assert!(net.until(net.now + 20 * S, |n| n.view(0).superseded == Some(life)));
-    net.at(0, |p, now| p.reborn(now, life + 1));
+    net.at(0, |p, now| p.adopt_incarnation(now, life + 1));
     spreads(&mut net, 0, (1, 1), Some(b"put back"), 10 * S);
 }
 
@@ -247,7 +248,7 @@
 #[test]
 fn random_histories_never_go_backwards() {
     for seed in 0..6 {
-        let mut net = Net::new(5, seed, |c| c.notes = 30.0);
+        let mut net = Net::new(5, seed, |c| c.messages_per_s = 30.0);
         net.spoil = (25, 25);
         net.delay = (2_700, 900_000);
         let mut known: HashMap<(usize, u16, u8, u32), (u64, u64)> = HashMap::new();
@@ -300,14 +301,14 @@
     let mut net = Net::new(3, 4, |_| {});
     net.run(5 * S);
     for (_, bytes) in net.at(0, |p, now| p.leave(now)) {
-        net.at(2, |p, now| assert_eq!(p.heard(now, Some(1), &bytes), Err(Refusal::Unknown)));
+        net.at(2, |p, now| assert_eq!(p.receive(now, Some(1), &bytes), Err(Refusal::Unknown)));
         net.post(0, 1, &bytes);
     }
     net.nodes[0] = None;
     net.run(S);
-    assert_eq!(net.view(1).members[0].standing, Standing::Away);
+    assert_eq!(net.view(1).members[0].standing, MemberStatus::Down);
     net.run(2 * S);
-    assert_eq!(net.view(2).members[0].standing, Standing::Here, "it heard nothing of it");
+    assert_eq!(net.view(2).members[0].standing, MemberStatus::Alive, "it heard nothing of it");
     net.run(15 * S);
-    assert_eq!(net.view(2).members[0].standing, Standing::Away);
+    assert_eq!(net.view(2).members[0].standing, MemberStatus::Down);
 }
--- a/tests/peers_private.rs
+++ b/tests/peers_private.rs
@@ -5,7 +5,7 @@
 mod notes;
 
 use indigohold::peers::codec;
-use indigohold::peers::private::OUT;
+use indigohold::peers::direct::MAX_OUTGOING;
 use indigohold::Micros;
 use notes::{Net, S};
 
@@ -14,7 +14,7 @@
 /// What `by` has heard from `from` under this number: the text and whether a former life said it.
 fn heard(net: &Net, by: usize, from: u16, id: u32) -> Option<(Vec<u8>, bool)> {
     let node = net.nodes[by].as_ref()?;
-    node.get(KIND).find(|s| s.owner == from && s.id == id).map(|s| (s.value.to_vec(), s.former))
+    node.get(KIND).find(|s| s.owner == from && s.id == id).map(|s| (s.value.to_vec(), s.from_previous_run))
 }
 
 /// Within so many seconds `by` hears this from `from`, of a former life or not.
@@ -24,7 +24,7 @@
 }
 
 fn say(net: &mut Net, from: usize, to: u16, id: u32, text: &[u8], secs: u64) -> bool {
-    net.at(from, |p, now| p.tell(now, to, KIND, id, text, now + Micros(secs * S)))
+    net.at(from, |p, now| p.send_to(now, to, KIND, id, text, now + Micros(secs * S)))
 }
 
 /// Bytes that went out for single members, over all.
@@ -151,18 +151,18 @@
     let mut net = Net::new(2, 17, |_| ());
     net.run(5 * S);
     assert!(!say(&mut net, 0, 0, 1, b"to itself", 9) && !say(&mut net, 0, 5, 1, b"to nobody", 9));
-    assert!(!say(&mut net, 0, 1, 1, &[0; codec::VALUE + 1], 9));
+    assert!(!say(&mut net, 0, 1, 1, &[0; codec::MAX_VALUE_BYTES + 1], 9));
     net.link = Box::new(|_, _| false);
-    for id in 0..2 * OUT as u32 {
+    for id in 0..2 * MAX_OUTGOING as u32 {
         say(&mut net, 0, 1, id, b"x", 600);
     }
     net.link = Box::new(|_, _| true);
     net.run(120 * S);
-    let have = (0..2 * OUT as u32).filter(|id| heard(&net, 1, 0, *id).is_some()).count();
-    assert_eq!(have, OUT, "the oldest gave way");
-    assert!(heard(&net, 1, 0, 2 * OUT as u32 - 1).is_some());
+    let have = (0..2 * MAX_OUTGOING as u32).filter(|id| heard(&net, 1, 0, *id).is_some()).count();
+    assert_eq!(have, MAX_OUTGOING, "the oldest gave way");
+    assert!(heard(&net, 1, 0, 2 * MAX_OUTGOING as u32 - 1).is_some());
     // Of a fleet that has become smaller nobody speaks to those who are gone, nor answers for them.
-    net.at(1, |p, now| p.tell(now, 0, KIND, 1, b"to be gone", now + Micros(60 * S)));
+    net.at(1, |p, now| p.send_to(now, 0, KIND, 1, b"to be gone", now + Micros(60 * S)));
     assert!(hears(&mut net, 0, (1, 1), "to be gone", false, 20));
     net.at(0, |p, now| p.resize(now, 1));
     net.run(5 * S);
--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -10,8 +10,8 @@
 use indigohold::net::peers::control::Shared;
 use indigohold::net::peers::riders::Place;
 use indigohold::net::peers::{self, Peers};
-use indigohold::peers::rider::Rider;
-use indigohold::peers::{cluster, Config, Peers as Ground, Standing};
+use indigohold::peers::payload::GossipPayload;
+use indigohold::peers::{cluster, Config, MemberStatus, Peers as Ground};
 use indigohold::shared::sharing::Matters;
 use indigohold::store::Journal;
 use indigohold::{Micros, PeerId};
@@ -33,7 +33,7 @@
     publishes_constantly: Arc<AtomicBool>,
 }
 
-impl Rider for ScriptedRider {
+impl GossipPayload for ScriptedRider {
     fn tick(&mut self, now: Micros, peers: &mut Ground) -> Micros {
         self.tick_count.fetch_add(1, Ordering::SeqCst);
         self.bytes_to_publish
@@ -106,7 +106,11 @@
         member_count: node_addresses.len(),
     };
     let shared = Shared {
-        config: Config { beat: Micros(200_000), notes: 30.0, ..Config::new(cluster(["here"])) },
+        config: Config {
+            beat_interval: Micros(200_000),
+            messages_per_s: 30.0,
+            ..Config::new(cluster(["here"]))
+        },
         place: Place {
             me: index,
             n: node_addresses.len(),
@@ -186,7 +190,7 @@
     drop(second.hang_request);
     until("member has left", || {
         let view = first.peers.shared.as_ref().unwrap().view();
-        view.fleet.members[1].standing == Standing::Away
+        view.fleet.members[1].standing == MemberStatus::Down
     });
 }
 
@@ -202,7 +206,7 @@
         until("all bytes of peers", || n.received_sum.load(Ordering::SeqCst) == expected_sum);
     }
     let standing_of_third = || nodes[0].peers.shared.as_ref().unwrap().view().fleet.members[2].standing;
-    until("published", || standing_of_third() == Standing::Here);
+    until("published", || standing_of_third() == MemberStatus::Alive);
     let shared_count = nodes[2].peers.counts.shared();
     assert!(shared_count > 0 && nodes[2].peers.counts.unknown() == 0);
     let deadline = Instant::now() + LONG;
@@ -210,8 +214,8 @@
     assert!(Instant::now() < deadline, "the thread ended before the deadline");
     // The port of the member that left can be bound again.
     UdpSocket::bind(node_addresses[2]).unwrap();
-    until("member leaves", || standing_of_third() != Standing::Here);
-    assert_eq!(standing_of_third(), Standing::Away, "a silent member would be suspected first");
+    until("member leaves", || standing_of_third() != MemberStatus::Alive);
+    assert_eq!(standing_of_third(), MemberStatus::Down, "a silent member would be suspected first");
     assert_eq!(nodes[0].received_sum.load(Ordering::SeqCst), 110, "entries of a member that left remain");
 }
 
--- a/tests/sharing_words.rs
+++ b/tests/sharing_words.rs
@@ -1,6 +1,6 @@
 //! What the rider makes of entries that are cut, foreign or not for it: dropped, counted, and nothing believed.
 
-use indigohold::peers::rider::{kinds, Rider};
+use indigohold::peers::payload::{kinds, GossipPayload};
 use indigohold::peers::{cluster, Config, Peers};
 use indigohold::shared::counts::Tally;
 use indigohold::shared::judgement::{Basis, Belief, Evidence, Saw};
@@ -35,16 +35,16 @@
     let mut longer = entry(1, &want);
     longer.push(0);
     let said = [
-        (kinds::WANT, 1, cut),
-        (kinds::WANT, 2, longer),
-        (kinds::WANT, 3, entry(2, &want)),
-        (kinds::WANT, 4, entry(1, &much)),
-        (kinds::WANT, 70_000, entry(1, &want)),
+        (kinds::DEMAND, 1, cut),
+        (kinds::DEMAND, 2, longer),
+        (kinds::DEMAND, 3, entry(2, &want)),
+        (kinds::DEMAND, 4, entry(1, &much)),
+        (kinds::DEMAND, 70_000, entry(1, &want)),
         // Its number names another receiver than it does; and one that another life of this courier asked for.
         (kinds::LOAN, 7 << 16 | 1, entry(1, &loan)),
         (kinds::LOAN, 7 << 16, entry(1, &Loan { life: 9, ..loan })),
-        (kinds::TALLY, 5, entry(1, &tally)),
-        (kinds::TALLY, 0, entry(1, &Tally { refused: 6, ..tally })),
+        (kinds::COUNTERS, 5, entry(1, &tally)),
+        (kinds::COUNTERS, 0, entry(1, &Tally { refused: 6, ..tally })),
         (kinds::EVIDENCE, 1, vec![255; 40]),
     ];
     for (kind, id, value) in &said {
@@ -53,11 +53,11 @@
     for now in (S..6 * S).step_by(50_000).map(Micros) {
         desk.lay(facts(now));
         for (_, bytes) in other.tick(now) {
-            mine.heard(now, Some(1), &bytes).unwrap();
+            mine.receive(now, Some(1), &bytes).unwrap();
         }
         rider.tick(now, &mut mine);
         for (_, bytes) in mine.tick(now) {
-            other.heard(now, Some(0), &bytes).unwrap();
+            other.receive(now, Some(0), &bytes).unwrap();
         }
     }
     let dropped = rider.dropped();
@@ -65,7 +65,7 @@
     let share = desk.beliefs().unwrap().share_of(Micros(6 * S), 7).unwrap();
     assert!(share <= 0.5, "no loan was taken: {share}");
     // What this courier says itself can be read, and is no longer than an entry may be.
-    let own: Vec<_> = other.get(kinds::WANT).chain(other.get(kinds::TALLY)).collect();
+    let own: Vec<_> = other.get(kinds::DEMAND).chain(other.get(kinds::COUNTERS)).collect();
     assert_eq!(own.len(), 2);
     let (form, heard): (u8, Want) = postcard::from_bytes(&own[0].value).unwrap();
     assert_eq!((form, heard.want), (1, 9_000_000));
@@ -108,7 +108,7 @@
             desk.lay(Facts { endpoints: vec![of], banned: banned.clone(), ..facts(now) });
             for (i, other) in others.iter_mut().enumerate() {
                 for (_, bytes) in other.tick(now) {
-                    mine.heard(now, Some(i as u16 + 1), &bytes).unwrap();
+                    mine.receive(now, Some(i as u16 + 1), &bytes).unwrap();
                 }
             }
             rider.tick(now, &mut mine);
--- a/tests/support/fleet.rs
+++ b/tests/support/fleet.rs
@@ -3,7 +3,7 @@
 use super::links::Tap;
 use super::*;
 use indigohold::net::peers::frame;
-use indigohold::peers::{cluster, Config, Peers, To};
+use indigohold::peers::{cluster, Config, Peers, Recipient};
 use indigohold::Micros;
 use indigohold_relay::{Faults, Mesh};
 use serde_json::{json, Value};
@@ -192,8 +192,11 @@
 impl Speaker {
     pub fn new(mesh: &Mesh) -> Speaker {
         let me = mesh.places().len() - 1;
-        let config =
-            Config { beat: Micros(BEAT_MS * 1_000), notes: NOTES, ..Config::new(cluster(["fleet"])) };
+        let config = Config {
+            beat_interval: Micros(BEAT_MS * 1_000),
+            messages_per_s: NOTES,
+            ..Config::new(cluster(["fleet"]))
+        };
         let peers = Peers::new(config, Micros(0), me as u16, me + 1, 1, 9);
         let (peers, since) = (Arc::new(Mutex::new(peers)), Instant::now());
         let over = Arc::new(AtomicBool::new(false));
@@ -210,13 +213,13 @@
                 if let Some((n, from)) = got {
                     let from = to.iter().position(|addr| *addr == from).unwrap();
                     if let Ok((frame::SHARED, body)) = frame::open(&buf[..n]) {
-                        let _ = ground.heard(now, Some(from as u16), body);
+                        let _ = ground.receive(now, Some(from as u16), body);
                     }
                 }
                 for (whom, body) in ground.tick(now) {
                     let bytes = frame::seal(frame::SHARED, &body).unwrap();
                     let all = || to.clone();
-                    let to = if let To::One(i) = whom { vec![to[usize::from(i)]] } else { all() };
+                    let to = if let Recipient::One(i) = whom { vec![to[usize::from(i)]] } else { all() };
                     to.iter().for_each(|to| drop(socket.send_to(&bytes, to)));
                 }
             }
--- a/tests/support/notes.rs
+++ b/tests/support/notes.rs
@@ -1,6 +1,6 @@
 //! A network of notes in virtual time: loss, doubling, delay (so also order), cuts and one-way links, clocks that run apart.
 
-use indigohold::peers::{cluster, Config, Peers, Snapshot, To};
+use indigohold::peers::{cluster, Config, Peers, Recipient, Snapshot};
 use indigohold::Micros;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -103,11 +103,11 @@
         let now = self.local(i);
         let Some(node) = &mut self.nodes[i] else { return };
         for (to, bytes) in node.tick(now) {
-            assert!(bytes.len() <= self.config.room);
+            assert!(bytes.len() <= self.config.max_datagram_bytes);
             let all = 0..self.nodes.len() as u16;
             let to: Vec<u16> = match to {
-                To::One(to) => vec![to],
-                To::All => all.filter(|to| usize::from(*to) != i).collect(),
+                Recipient::One(to) => vec![to],
+                Recipient::All => all.filter(|to| usize::from(*to) != i).collect(),
             };
             if self.seen.len() < 10_000 {
                 self.seen.push((i as u16, to[0], bytes.clone()));
@@ -142,7 +142,7 @@
                 let Some((_, (from, to, bytes))) = self.under_way.pop_first() else { continue };
                 let (to, now) = (usize::from(to), self.local(usize::from(to)));
                 let Some(node) = &mut self.nodes[to] else { continue };
-                let _ = node.heard(now, Some(from), &bytes);
+                let _ = node.receive(now, Some(from), &bytes);
                 to
             } else {
                 self.now = self.now.max(at);
--- a/tests/support/sharing.rs
+++ b/tests/support/sharing.rs
@@ -3,7 +3,7 @@
 
 use super::common::{answered_ids, attempted_ids, class, settings, SenderHarness, S};
 use super::notes::Net;
-use indigohold::peers::rider::Rider;
+use indigohold::peers::payload::GossipPayload;
 use indigohold::shared::lease::Start;
 use indigohold::shared::sharing::{Desk, Matters, Sharing, Terms};
 use indigohold::*;
