--- a/src/cli/ask.rs
+++ b/src/cli/ask.rs
@@ -1,6 +1,6 @@
-//! `indigohold ask ...`: a question to the whole fleet, by any courier's door or control channel.
+//! `indigohold ask ...`: queries the whole fleet through the admin server or the control channel of any courier.
 
-use super::retention::time;
+use super::retention::format_time;
 use super::Socket;
 use crate::admin::{client, AdminCommand};
 use crate::config::Paths;
@@ -12,37 +12,39 @@
 use std::fmt::Write as _;
 use std::time::Duration;
 
-/// Everything came, or what was looked for was found.
+/// Exit code: all couriers answered, or what was looked for was found.
 const COMPLETE: u8 = 0;
-/// Nobody answered.
-const UNREACHED: u8 = 1;
-/// The question can't be asked so.
+/// Exit code: no answer came.
+const UNREACHABLE: u8 = 1;
+/// Exit code: the query is malformed.
 const REFUSED: u8 = 3;
-/// Something is missing.
+/// Exit code: some answers are missing.
 const PARTIAL: u8 = 4;
-/// Letters of what a courier says, in a table.
-const SAYS: usize = 160;
+/// Longest text of a courier in a table cell.
+const MAX_CELL_CHARS: usize = 160;
 
-/// Asks; the exit code, after all has been printed.
+/// Runs the query and prints the answer. Returns the exit code.
 pub fn run(paths: &Paths, socket: &Socket, words: &[String], json: bool) -> u8 {
-    let (first, subject) = (words.first().map_or("", String::as_str), words.get(1..).unwrap_or_default());
-    let Some(kind) = kind(first) else {
-        eprintln!("{first:?} is no kind of question");
+    let (kind_name, subject) = (words.first().map_or("", String::as_str), words.get(1..).unwrap_or_default());
+    let Some(kind) = kind(kind_name) else {
+        eprintln!("{kind_name:?} is no kind of question");
         return REFUSED;
     };
     let subject = subject.join(" ");
-    let said = match &socket.socket {
-        Some(socket) => Client::new(socket).ask(first, &subject).map_err(|failed| match failed {
+    let result = match &socket.socket {
+        Some(socket) => Client::new(socket).ask(kind_name, &subject).map_err(|error| match error {
             ClientError::Problem(problem) => (REFUSED, format!("{}: {}", problem.title, problem.detail)),
-            failed => (UNREACHED, failed.to_string()),
+            error => (UNREACHABLE, error.to_string()),
         }),
-        None if paths.config.is_none() && paths.control.is_none() => channel(paths, first, &subject),
+        None if paths.config.is_none() && paths.control.is_none() => {
+            ask_configured_channel(paths, kind_name, &subject)
+        }
         None => client::ask(paths, &AdminCommand::Ask(kind, subject)),
     };
-    let answer = match said {
+    let answer = match result {
         Ok(answer) => answer,
-        Err((code, words)) => {
-            eprintln!("{words}");
+        Err((code, error)) => {
+            eprintln!("{error}");
             return code;
         }
     };
@@ -57,62 +59,63 @@
     }
 }
 
-/// By the channel that the control file names.
-fn channel(paths: &Paths, kind: &str, subject: &str) -> Result<AnswerShape, (u8, String)> {
+/// Asks over the control channel that the control file names.
+fn ask_configured_channel(paths: &Paths, kind: &str, subject: &str) -> Result<AnswerShape, (u8, String)> {
     match control::read(&paths.channel) {
         Ok(Some(config)) => {
-            Client::new(&config.socket).ask(kind, subject).map_err(|failed| (UNREACHED, failed.to_string()))
+            Client::new(&config.socket).ask(kind, subject).map_err(|error| (UNREACHABLE, error.to_string()))
         }
-        _ => Err((UNREACHED, "neither --control nor --socket, and the control channel is off".into())),
+        _ => Err((UNREACHABLE, "neither --control nor --socket, and the control channel is off".into())),
     }
 }
 
-fn says(value: &Value) -> String {
-    let word = |value: &Value| match value {
+/// One value of a courier's answer as the text of a table cell; empty fields of an object are left out.
+fn value_text(value: &Value) -> String {
+    let scalar = |value: &Value| match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
     };
     let text = match value {
         Value::Object(fields) => {
-            let empty =
+            let is_empty =
                 |value: &Value| value.is_null() || value.as_object().is_some_and(serde_json::Map::is_empty);
-            let known = fields.iter().filter(|(_, value)| !empty(value));
-            known.map(|(name, value)| format!("{name} {}", word(value))).collect::<Vec<_>>().join(", ")
+            let filled = fields.iter().filter(|(_, value)| !is_empty(value));
+            filled.map(|(name, value)| format!("{name} {}", scalar(value))).collect::<Vec<_>>().join(", ")
         }
-        other => word(other),
+        other => scalar(other),
     };
-    plain(&text, SAYS)
+    plain(&text, MAX_CELL_CHARS)
 }
 
-fn part(part: &PartShape) -> [String; 4] {
+fn part_row(part: &PartShape) -> [String; 4] {
     let state = if part.whole { "whole" } else { "in part" };
-    let said: Vec<String> = part.says.iter().map(says).collect();
+    let texts: Vec<String> = part.says.iter().map(value_text).collect();
     [
         plain(&part.courier, 64),
         format!("{state}, after {:.1} ms", part.after_ms),
         part.figure.to_string(),
-        said.join("\n"),
+        texts.join("\n"),
     ]
 }
 
-fn gap(gap: &MissingShape, needed: bool) -> [String; 4] {
-    let before = gap.before.as_ref().map_or_else(
+fn missing_row(missing: &MissingShape, needed: bool) -> [String; 4] {
+    let before = missing.before.as_ref().map_or_else(
         || "nothing known of it before".to_owned(),
         |before| {
             let age = Duration::from_secs(before.age_ms / 1_000);
             format!("{} before, {} ago", before.figure, humantime::format_duration(age))
         },
     );
-    let share = format!("{:.0} %", gap.share * 100.0);
+    let share = format!("{:.0} %", missing.share * 100.0);
     [
-        plain(&gap.courier, 64),
-        format!("{}: {}", if needed { "missing" } else { "not needed" }, plain(&gap.why, 32)),
+        plain(&missing.courier, 64),
+        format!("{}: {}", if needed { "missing" } else { "not needed" }, plain(&missing.why, 32)),
         "-".into(),
-        format!("{}; {before}; share {share}", plain(&gap.detail, SAYS)),
+        format!("{}; {before}; share {share}", plain(&missing.detail, MAX_CELL_CHARS)),
     ]
 }
 
-/// As people read it.
+/// The answer as text for people.
 fn text(answer: &AnswerShape) -> String {
     let stopped = match answer.stopped.as_str() {
         "found" => "it was found",
@@ -138,38 +141,38 @@
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(["courier", "", "figure", "says"]);
     table
-        .add_rows(answer.parts.iter().map(part))
-        .add_rows(answer.missing.iter().map(|one| gap(one, !answer.complete)));
+        .add_rows(answer.parts.iter().map(part_row))
+        .add_rows(answer.missing.iter().map(|missing| missing_row(missing, !answer.complete)));
     let _ = writeln!(out, "{table}");
     if let Some(together) = &answer.together {
-        out += &rows(together);
-        out += &tenants(together);
+        out += &message_rows(together);
+        out += &tenant_lines(together);
     }
     out
 }
 
-fn list<'a>(of: &'a Value, name: &str) -> impl Iterator<Item = &'a Value> {
+fn elements<'a>(of: &'a Value, name: &str) -> impl Iterator<Item = &'a Value> {
     of[name].as_array().into_iter().flatten()
 }
 
-fn word(of: &Value, name: &str, most: usize) -> String {
+fn field_text(of: &Value, name: &str, max_chars: usize) -> String {
     match &of[name] {
-        Value::String(text) => plain(text, most),
+        Value::String(text) => plain(text, max_chars),
         Value::Null => "-".into(),
-        other => plain(&other.to_string(), most),
+        other => plain(&other.to_string(), max_chars),
     }
 }
 
-/// The messages of a history's page, and where it goes on.
-fn rows(together: &Value) -> String {
-    let Some(shown) = together["rows"].as_array() else { return String::new() };
+/// The messages of one page of a history, and the argument that asks for the next page.
+fn message_rows(together: &Value) -> String {
+    let Some(messages) = together["rows"].as_array() else { return String::new() };
     let mut table = Table::new();
     let names = ["ended", "courier", "id", "class", "how", "bytes", "backend", "said"];
     table.load_preset(presets::NOTHING).set_header(names);
-    table.add_rows(shown.iter().map(|row| {
-        let ended = time(row["ended_us"].as_u64().unwrap_or(0) / 1_000);
-        let rest = names[1..].iter().map(|name| word(row, name, SAYS));
-        std::iter::once(ended).chain(rest).collect::<Vec<_>>()
+    table.add_rows(messages.iter().map(|row| {
+        let ended = format_time(row["ended_us"].as_u64().unwrap_or(0) / 1_000);
+        let other_cells = names[1..].iter().map(|name| field_text(row, name, MAX_CELL_CHARS));
+        std::iter::once(ended).chain(other_cells).collect::<Vec<_>>()
     }));
     let mut out = format!("{table}\n");
     if together["withheld"] != 0 {
@@ -181,27 +184,33 @@
     out
 }
 
-/// For each tenant who honours what.
-fn tenants(together: &Value) -> String {
+/// One line per tenant: its retention policy's version and the couriers that honour it.
+fn tenant_lines(together: &Value) -> String {
     let mut out = String::new();
-    let moment = |of: &Value, name: &str| of[name].as_u64().map(time);
-    for of in list(together, "tenants") {
-        let _ = write!(out, "{}: version {}", word(of, "tenant", 64), word(of, "version", 32));
-        let until = moment(of, "forgotten_until_ms").map(|at| format!(", forgotten up to {at}"));
+    let time_of = |of: &Value, name: &str| of[name].as_u64().map(format_time);
+    for tenant in elements(together, "tenants") {
+        let _ = write!(
+            out,
+            "{}: version {}",
+            field_text(tenant, "tenant", 64),
+            field_text(tenant, "version", 32)
+        );
+        let until = time_of(tenant, "forgotten_until_ms").map(|at| format!(", forgotten up to {at}"));
         out += &until.unwrap_or_default();
         let by: Vec<String> =
-            list(of, "honoured_by").map(|name| plain(name.as_str().unwrap_or(""), 64)).collect();
+            elements(tenant, "honoured_by").map(|name| plain(name.as_str().unwrap_or(""), 64)).collect();
         let by = if by.is_empty() { "nobody".to_owned() } else { by.join(", ") };
-        let _ = write!(out, ", honoured by {}", if of["by_all"] == true { "all" } else { &by });
-        for (name, version) in of["not_by"].as_object().into_iter().flatten() {
+        let _ = write!(out, ", honoured by {}", if tenant["by_all"] == true { "all" } else { &by });
+        for (name, version) in tenant["not_by"].as_object().into_iter().flatten() {
             let _ = write!(out, ", NOT by {} (version {version})", plain(name, 64));
         }
-        for (name, gone) in of["unheard"].as_object().into_iter().flatten() {
-            let since = moment(gone, "since_ms").map_or("never heard".to_owned(), |at| format!("since {at}"));
-            let version = word(gone, "version", 32);
+        for (name, last) in tenant["unheard"].as_object().into_iter().flatten() {
+            let since =
+                time_of(last, "since_ms").map_or("never heard".to_owned(), |at| format!("since {at}"));
+            let version = field_text(last, "version", 32);
             let _ = write!(out, ", unheard {} ({since}, version {version})", plain(name, 64));
         }
-        let oldest = moment(of, "oldest_ms").map(|at| format!(", oldest held ended {at}"));
+        let oldest = time_of(tenant, "oldest_ms").map(|at| format!(", oldest held ended {at}"));
         let _ = writeln!(out, "{}", oldest.unwrap_or_default());
     }
     out
@@ -214,7 +223,7 @@
     use serde_json::json;
 
     #[test]
-    fn a_table_names_what_came_and_what_is_missing_and_lets_no_control_character_through() {
+    fn text_shows_present_and_missing_answers_without_control_characters() {
         let part = PartShape {
             courier: "c1".into(),
             whole: true,
@@ -222,7 +231,7 @@
             figure: 3,
             says: vec![json!({"at": {"held": 3}, "odd": "\u{1b}[2J", "none": null})],
         };
-        let gone = MissingShape {
+        let missing = MissingShape {
             courier: "c2".into(),
             why: "away".into(),
             detail: "the connection was refused".into(),
@@ -243,7 +252,7 @@
             waited_ms: 12.0,
             stopped: "nobody_left".into(),
             parts: vec![part],
-            missing: vec![gone],
+            missing: vec![missing],
             together: Some(json!({
                 "rows": [{"ended_us": 1_000_000, "id": "m\u{1b}7", "how": "delivered"}], "next": "1000000/5", "withheld": 1,
                 "tenants": [{"tenant": "t", "version": 3, "by_all": false, "honoured_by": ["c1"], "not_by": {"c3": 2},
@@ -251,7 +260,7 @@
             })),
         };
         let text = text(&answer);
-        for words in [
+        for expected in [
             "IN PART",
             "2 of 3",
             "not the larger part",
@@ -264,7 +273,7 @@
             "kept back",
             "t: version 3, honoured by c1, NOT by c3 (version 2), unheard c2 (since 1970-01-01T00:00:02Z, version 1), oldest",
         ] {
-            assert!(text.contains(words), "{words}: {text}");
+            assert!(text.contains(expected), "{expected}: {text}");
         }
         assert!(!text.contains('\u{1b}') && !text.contains("none"), "{text}");
     }
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `indigohold check`: reads every configuration file as a start would, and names every fault, not only the first.
+//! `indigohold check`: reads every configuration file as a start of the daemon does, and reports all faults, not only the first.
 
 use crate::admission::config as admission;
 use crate::ask;
@@ -16,13 +16,13 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Most faults that are named of one part of a file.
-const FAULTS_MOST: usize = 64;
+/// Largest number of faults reported for one part of a file.
+const MAX_FAULTS: usize = 64;
 
-/// All that is wrong, a line each: `FILE: path in it: what`.
+/// All faults, one line each: `FILE: path in the file: fault`.
 pub fn faults(paths: &Paths) -> Vec<String> {
     let mut out = Vec::new();
-    let places = match &paths.config {
+    let names = match &paths.config {
         None => {
             out.push("NODE_CONFIG: not set".to_owned());
             KindAndZoneNames::default()
@@ -47,7 +47,7 @@
     match register::read(&paths.register) {
         Ok(config) => {
             if let Some(file) = config.static_file {
-                out.extend(list_file(&file, &places).1);
+                out.extend(list_file(&file, &names).1);
             }
         }
         Err(faults) => out.extend(faults.iter().map(|f| format!("{}: {f}", paths.register.display()))),
@@ -55,62 +55,63 @@
     out
 }
 
+/// Checks the main file, and the mail and history files, which need its settings. Returns the names of kinds and zones.
 fn main_file(path: &Path, paths: &Paths, out: &mut Vec<String>) -> KindAndZoneNames {
-    let mut say = |at: &str, what: &dyn std::fmt::Display| {
+    let mut report = |at: &str, fault: &dyn std::fmt::Display| {
         let at = if at.is_empty() { String::new() } else { format!("{at}: ") };
-        out.push(format!("{}: {at}{what}", path.display()));
+        out.push(format!("{}: {at}{fault}", path.display()));
     };
-    let mut places = KindAndZoneNames::default();
+    let mut kinds_and_zones = KindAndZoneNames::default();
     let fields: Map<String, Value> = match std::fs::read(path)
         .map_err(|e| e.to_string())
         .and_then(|bytes| serde_json::from_slice(&bytes).map_err(|e| e.to_string()))
     {
         Ok(fields) => fields,
         Err(e) => {
-            say("", &e);
-            return places;
+            report("", &e);
+            return kinds_and_zones;
         }
     };
     let text = |name: &str| fields.get(name).filter(|v| !v.is_null()).map(|v| (v, v.as_str()));
     for name in ["listen", "discovery"] {
         match text(name) {
             Some((_, Some(addr))) if addr.parse::<SocketAddr>().is_ok() => {}
-            Some((value, _)) => say(name, &format!("{value} is no address with a port")),
+            Some((value, _)) => report(name, &format!("{value} is no address with a port")),
             None => {}
         }
     }
-    let listens = text("listen").is_some() || paths.listen.is_some();
-    if listens && text("discovery").is_none() && paths.discovery.is_none() {
-        say("discovery", &"not set");
+    let has_listen_address = text("listen").is_some() || paths.listen.is_some();
+    if has_listen_address && text("discovery").is_none() && paths.discovery.is_none() {
+        report("discovery", &"not set");
     }
     match text("seed") {
         Some((_, Some(seed))) => {
             if let Err(e) = config::seed(seed) {
-                say("", &e);
+                report("", &e);
             }
         }
-        Some((value, None)) => say("seed", &format!("{value} is no text")),
+        Some((value, None)) => report("seed", &format!("{value} is no text")),
         None => {}
     }
     let part = |name: &str| fields.get(name).cloned().unwrap_or(Value::Null);
     if !part("limits").is_null() {
-        read_all::<config::Limits>(part("limits"), "limits", &mut say);
+        read_all::<config::Limits>(part("limits"), "limits", &mut report);
     }
     let name = fields.get("name").and_then(Value::as_str).unwrap_or_default();
-    let (at, peers, all) = (part("peer_listen"), part("peers"), part("peers_all"));
-    if let Err(e) = config::peer_addresses(&at, &peers, &all, name, None) {
-        say("", &e);
+    let (peer_listen, peers, peers_all) = (part("peer_listen"), part("peers"), part("peers_all"));
+    if let Err(e) = config::peer_addresses(&peer_listen, &peers, &peers_all, name, None) {
+        report("", &e);
     }
-    if let Some(known) = fields.get("known").filter(|v| !v.is_null()) {
-        list_faults(known).iter().for_each(|f| say("known", f));
+    if let Some(known_list) = fields.get("known").filter(|v| !v.is_null()) {
+        list_faults(known_list).iter().for_each(|fault| report("known", fault));
     }
     if part("settings").is_null() {
-        say("settings", &"missing");
-    } else if let Some(document) = read_all::<Document>(part("settings"), "settings", &mut say) {
+        report("settings", &"missing");
+    } else if let Some(document) = read_all::<Document>(part("settings"), "settings", &mut report) {
         match document.split() {
-            Err(e) => say("", &e),
+            Err(e) => report("", &e),
             Ok((mut settings, names)) => {
-                places = names.places();
+                kinds_and_zones = names.places();
                 let mail_file = mail::config::read(&paths.mail, &mut settings, &names);
                 let mail = mail_file.as_ref().map_or(None, Option::as_ref);
                 let classes = daemon::classes_of(&names, mail);
@@ -119,48 +120,50 @@
                 }
                 match mail_file {
                     Err(e) => out.push(e),
-                    Ok(None) if !listens => out.push("listen: not set, and the mail front is off".to_owned()),
+                    Ok(None) if !has_listen_address => {
+                        out.push("listen: not set, and the mail front is off".to_owned())
+                    }
                     Ok(_) => {}
                 }
             }
         }
     }
-    places
+    kinds_and_zones
 }
 
-/// Reads a part, and goes on after each fault without the value that it is in, to find the next one.
+/// Reads a part of the file. After each fault, the faulty value is removed and the part is read again, to find the next fault.
 fn read_all<T: DeserializeOwned>(
-    mut part: Value, at: &str, say: &mut impl FnMut(&str, &dyn std::fmt::Display),
+    mut part: Value, at: &str, report: &mut impl FnMut(&str, &dyn std::fmt::Display),
 ) -> Option<T> {
-    let mut taken = Vec::new();
-    for _ in 0..FAULTS_MOST {
+    let mut removed = Vec::new();
+    for _ in 0..MAX_FAULTS {
         let e = match serde_path_to_error::deserialize::<_, T>(part.clone()) {
-            Ok(read) => return Some(read).filter(|_| taken.is_empty()),
+            Ok(read) => return Some(read).filter(|_| removed.is_empty()),
             Err(e) => e,
         };
         let path = e.path().clone();
-        let what = e.into_inner().to_string();
-        // What is missing because it was taken out has been named; what it was missing from goes too.
-        if !taken.iter().any(|name: &String| what == format!("missing field `{name}`")) {
+        let fault = e.into_inner().to_string();
+        // A field that is missing only because it was removed has been reported already. The value that lacks it is removed in turn.
+        if !removed.iter().any(|name: &String| fault == format!("missing field `{name}`")) {
             let shown = path.to_string();
             let shown = if shown == "." { at.to_owned() } else { format!("{at}.{shown}") };
-            say(&shown, &what);
+            report(&shown, &fault);
         }
-        match take(&mut part, &path) {
-            Some(name) => taken.push(name),
+        match remove_at(&mut part, &path) {
+            Some(name) => removed.push(name),
             None => return None,
         }
     }
     None
 }
 
-/// Takes the value at a path out; its name.
-fn take(part: &mut Value, path: &serde_path_to_error::Path) -> Option<String> {
+/// Removes the value at a path. Returns its name, or its index in brackets.
+fn remove_at(part: &mut Value, path: &serde_path_to_error::Path) -> Option<String> {
     use serde_path_to_error::Segment;
     let segments: Vec<_> = path.iter().collect();
-    let (last, way) = segments.split_last()?;
+    let (last, parents) = segments.split_last()?;
     let mut at = part;
-    for segment in way {
+    for segment in parents {
         at = match segment {
             Segment::Map { key } => at.get_mut(key.as_str())?,
             Segment::Seq { index } => at.get_mut(*index)?,
@@ -177,38 +180,39 @@
     }
 }
 
-/// Reads a list of backends as a file of its own; the list if it is good, and its faults with the file's name.
-pub fn list_file(path: &Path, places: &KindAndZoneNames) -> (Option<DiscoveryList>, Vec<String>) {
-    let fail = |e: String| format!("{}: {e}", path.display());
+/// Reads a file with a list of backends. Returns the list if it could be read, and the faults, each with the file's name.
+pub fn list_file(path: &Path, names: &KindAndZoneNames) -> (Option<DiscoveryList>, Vec<String>) {
+    let in_file = |e: String| format!("{}: {e}", path.display());
     let value: Value = match std::fs::read(path)
         .map_err(|e| e.to_string())
         .and_then(|bytes| serde_json::from_slice(&bytes).map_err(|e| e.to_string()))
     {
         Ok(value) => value,
-        Err(e) => return (None, vec![fail(e)]),
+        Err(e) => return (None, vec![in_file(e)]),
     };
-    let mut faults: Vec<String> = list_faults(&value).into_iter().map(fail).collect();
+    let mut faults: Vec<String> = list_faults(&value).into_iter().map(in_file).collect();
     if !faults.is_empty() {
         return (None, faults);
     }
     let list: DiscoveryList = match serde_json::from_value(value) {
         Ok(list) => list,
-        Err(e) => return (None, vec![fail(e.to_string())]),
+        Err(e) => return (None, vec![in_file(e.to_string())]),
     };
-    for (n, instance) in list.instances.iter().enumerate() {
-        for (what, name, known) in
-            [("zone", &instance.zone, &places.zones), ("machineType", &instance.machine_type, &places.kinds)]
+    for (index, instance) in list.instances.iter().enumerate() {
+        for (field, name, allowed) in
+            [("zone", &instance.zone, &names.zones), ("machineType", &instance.machine_type, &names.kinds)]
         {
-            if !known.is_empty() && !name.is_empty() && !known.contains(name) {
-                faults
-                    .push(fail(format!("instances[{n}].{what}: {name:?} is not among the settings' names")));
+            if !allowed.is_empty() && !name.is_empty() && !allowed.contains(name) {
+                faults.push(in_file(format!(
+                    "instances[{index}].{field}: {name:?} is not among the settings' names"
+                )));
             }
         }
     }
     (Some(list), faults)
 }
 
-/// What is wrong with a list, entry by entry.
+/// The faults of a list, entry by entry.
 fn list_faults(value: &Value) -> Vec<String> {
     let mut out = Vec::new();
     let Some(fields) = value.as_object() else { return vec!["it must be an object".into()] };
@@ -224,8 +228,8 @@
         }
     };
     let mut seen: HashMap<String, usize> = HashMap::new();
-    for (n, entry) in entries.iter().enumerate() {
-        let at = format!("instances[{n}]");
+    for (index, entry) in entries.iter().enumerate() {
+        let at = format!("instances[{index}]");
         match serde_path_to_error::deserialize::<_, Instance>(entry.clone()) {
             Err(e) if e.path().to_string() == "." => out.push(format!("{at}: {}", e.inner())),
             Err(e) => out.push(format!("{at}.{}: {}", e.path(), e.inner())),
@@ -233,12 +237,12 @@
                 if instance.host_port.parse::<SocketAddr>().is_err() {
                     out.push(format!("{at}.hostPort: {:?} is no address with a port", instance.host_port));
                 } else if !["up", "draining", "removed"].contains(&instance.lifecycle.as_str()) {
-                    let what = "is none of up, draining and removed";
-                    out.push(format!("{at}.lifecycle: {:?} {what}", instance.lifecycle));
+                    let fault = "is none of up, draining and removed";
+                    out.push(format!("{at}.lifecycle: {:?} {fault}", instance.lifecycle));
                 } else if instance.to_record(&KindAndZoneNames::default()).is_none() {
                     out.push(format!("{at}.instanceId: empty or too long"));
                 }
-                if let Some(before) = seen.insert(instance.instance_id.clone(), n) {
+                if let Some(before) = seen.insert(instance.instance_id.clone(), index) {
                     out.push(format!("{at}.instanceId: {:?} stands in [{before}] too", instance.instance_id));
                 }
             }
--- a/src/cli/drain.rs
+++ b/src/cli/drain.rs
@@ -1,4 +1,4 @@
-//! `indigohold drain ...` and `indigohold status`: the control channel from the command line.
+//! `indigohold drain ...` and `indigohold status`, which use the control channel.
 
 use super::{Drain, Socket};
 use crate::admission::ConnState;
@@ -12,20 +12,20 @@
 use std::thread;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Emptied before its deadline, or done as asked.
+/// Exit code: the drain was emptied before its deadline, or the command succeeded.
 const DONE: u8 = 0;
-/// The wish was refused, or is malformed.
+/// Exit code: the request was refused or is malformed.
 const REFUSED: u8 = 2;
-/// The deadline struck, and messages were given up.
+/// Exit code: the deadline has passed, and messages were given up.
 const GIVEN_UP: u8 = 3;
-/// It was called off.
+/// Exit code: the drain was cancelled.
 const CANCELLED: u8 = 4;
-/// The deadline struck, and all that was left could be handed back.
+/// Exit code: the deadline has passed, and all remaining messages were handed back.
 const HANDED_BACK: u8 = 5;
-/// The instance can't be reached.
-const UNREACHED: u8 = 6;
+/// Exit code: the instance can't be reached.
+const UNREACHABLE: u8 = 6;
 
-/// Carries it out: the exit code, after all has been printed.
+/// Runs the command and prints its result. Returns the exit code.
 pub fn run(control_file: &Path, socket: &Socket, what: &Drain) -> u8 {
     let mut client = match client(control_file, socket) {
         Ok(client) => client,
@@ -34,7 +34,7 @@
             return REFUSED;
         }
     };
-    let done = match what {
+    let result = match what {
         Drain::Start { by, reason, elsewhere, front, dest, class, tenant, wait, json } => {
             let scope = DrainScope {
                 front: front.clone(),
@@ -42,7 +42,7 @@
                 class: class.clone(),
                 tenant: tenant.clone(),
             };
-            let wish = match moment(by) {
+            let request = match deadline(by) {
                 Ok((by_ms, within_ms)) => {
                     NewDrain { scope, by_ms, within_ms, reason: reason.clone(), elsewhere: elsewhere.clone() }
                 }
@@ -51,33 +51,34 @@
                     return REFUSED;
                 }
             };
-            client.start(&wish).and_then(|drain| {
-                show(std::slice::from_ref(&drain), *json);
+            client.start(&request).and_then(|drain| {
+                print_drains(std::slice::from_ref(&drain), *json);
                 if *wait {
-                    return watch(&mut client, drain.id, Duration::from_millis(500));
+                    return watch_to_end(&mut client, drain.id, Duration::from_millis(500));
                 }
                 Ok(DONE)
             })
         }
-        Drain::Status { id, json } => all(&mut client, *id).map(|drains| {
-            show(&drains, *json);
+        Drain::Status { id, json } => selected_drains(&mut client, *id).map(|drains| {
+            print_drains(&drains, *json);
             DONE
         }),
-        Drain::Watch { id, every_ms } => one(&mut client, *id)
-            .and_then(|id| watch(&mut client, id, Duration::from_millis((*every_ms).clamp(50, 60_000)))),
-        Drain::Cancel { id } => one(&mut client, *id).and_then(|id| client.cancel(id)).map(|drain| {
-            show(std::slice::from_ref(&drain), false);
+        Drain::Watch { id, every_ms } => selected_id(&mut client, *id).and_then(|id| {
+            watch_to_end(&mut client, id, Duration::from_millis((*every_ms).clamp(50, 60_000)))
+        }),
+        Drain::Cancel { id } => selected_id(&mut client, *id).and_then(|id| client.cancel(id)).map(|drain| {
+            print_drains(std::slice::from_ref(&drain), false);
             DONE
         }),
-        Drain::Close { id } => one(&mut client, *id).and_then(|id| client.close(id)).map(|drain| {
+        Drain::Close { id } => selected_id(&mut client, *id).and_then(|id| client.close(id)).map(|drain| {
             println!("drain {} is closed; service goes on", drain.id);
             DONE
         }),
     };
-    done.unwrap_or_else(|e| failed(&e))
+    result.unwrap_or_else(|e| print_error(&e))
 }
 
-/// `indigohold status`
+/// Runs `indigohold status`. Returns the exit code.
 pub fn status(control_file: &Path, socket: &Socket, json: bool) -> u8 {
     let status = client(control_file, socket).map(|mut client| client.status());
     match status {
@@ -85,7 +86,7 @@
             eprintln!("{e}");
             REFUSED
         }
-        Ok(Err(e)) => failed(&e),
+        Ok(Err(e)) => print_error(&e),
         Ok(Ok(status)) if json => {
             println!("{}", serde_json::to_string_pretty(&status).unwrap_or_default());
             DONE
@@ -105,53 +106,56 @@
     }
 }
 
+/// The status as text for people.
 fn status_text(status: &InstanceStatus) -> String {
-    let up = Duration::from_millis(status.now_ms.saturating_sub(status.started_ms) / 1000 * 1000);
+    let uptime = Duration::from_millis(status.now_ms.saturating_sub(status.started_ms) / 1000 * 1000);
     let mut out = format!(
         "indigohold {}, process {}, up {}{}\nregister: {}, {} backends known\nowed: {} messages\n",
         status.version,
         status.pid,
-        humantime::format_duration(up),
+        humantime::format_duration(uptime),
         if status.ending { ", about to end" } else { "" },
         status.register,
         status.backends,
         status.owed
     );
-    for (name, tally) in &status.clients {
-        let words = |map: &BTreeMap<ConnState, u64>| {
+    for (name, stats) in &status.clients {
+        let by_state = |map: &BTreeMap<ConnState, u64>| {
             let named = map.iter().map(|(state, n)| format!("{n} {}", state_name(*state)));
             named.collect::<Vec<_>>().join(", ")
         };
-        let open: u64 = tally.open.values().sum();
-        let _ = write!(out, "{name}: {open} of {} places held", tally.max_connections);
+        let open: u64 = stats.open.values().sum();
+        let _ = write!(out, "{name}: {open} of {} places held", stats.max_connections);
         let _ =
-            write!(out, "{}", if open > 0 { format!(" ({})", words(&tally.open)) } else { String::new() });
-        let _ = write!(out, "; {} let in, {} requests answered", tally.accepted, tally.answered);
-        if !tally.evicted.is_empty() {
-            let _ = write!(out, "; made room: {}", words(&tally.evicted));
+            write!(out, "{}", if open > 0 { format!(" ({})", by_state(&stats.open)) } else { String::new() });
+        let _ = write!(out, "; {} let in, {} requests answered", stats.accepted, stats.answered);
+        if !stats.evicted.is_empty() {
+            let _ = write!(out, "; made room: {}", by_state(&stats.evicted));
         }
-        if tally.deferred + tally.descriptor_shortages > 0 {
-            let _ = write!(out, "; kept waiting {} times", tally.deferred);
-            let _ = write!(out, ", no descriptor {} times", tally.descriptor_shortages);
+        if stats.deferred + stats.descriptor_shortages > 0 {
+            let _ = write!(out, "; kept waiting {} times", stats.deferred);
+            let _ = write!(out, ", no descriptor {} times", stats.descriptor_shortages);
         }
         out.push('\n');
     }
     for drain in &status.drains {
-        let _ = writeln!(out, "{}", line(drain));
+        let _ = writeln!(out, "{}", progress_line(drain));
     }
     out + &status.shared.as_ref().map(super::fleet::text).unwrap_or_default()
 }
 
-pub(super) fn failed(e: &ClientError) -> u8 {
+/// Prints the error. Returns the exit code.
+pub(super) fn print_error(e: &ClientError) -> u8 {
     eprintln!("{e}");
     match e {
-        ClientError::Unreachable(_) => UNREACHED,
+        ClientError::Unreachable(_) => UNREACHABLE,
         ClientError::Problem(p) if p.short_kind() == "struck" => GIVEN_UP,
         ClientError::Problem(p) if p.short_kind() == "cancelled" => CANCELLED,
         ClientError::Problem(_) => REFUSED,
     }
 }
 
+/// A client for the socket of the command line, or else for the one that the control file names.
 pub(super) fn client(control_file: &Path, socket: &Socket) -> Result<Client, String> {
     let path: PathBuf = match &socket.socket {
         Some(path) => path.clone(),
@@ -167,38 +171,39 @@
     Ok(Client::new(&path))
 }
 
-/// A length of time from now, or a moment: `(by_ms, within_ms)`.
-fn moment(text: &str) -> Result<(Option<u64>, Option<u64>), String> {
+/// Parses a deadline, which is a time or a length of time from now. Returns `(by_ms, within_ms)`, one of which is set.
+fn deadline(text: &str) -> Result<(Option<u64>, Option<u64>), String> {
     if let Ok(length) = humantime::parse_duration(text) {
         return Ok((None, Some(length.as_millis() as u64)));
     }
     let time = humantime::parse_rfc3339_weak(text)
         .map_err(|_| format!("{text:?} is neither a length (90s, 5m) nor a time (2026-12-01T18:00:00Z)"))?;
-    let since = time.duration_since(UNIX_EPOCH).map_err(|_| "long past".to_owned())?;
-    Ok((Some(since.as_millis() as u64), None))
+    let since_epoch = time.duration_since(UNIX_EPOCH).map_err(|_| "long past".to_owned())?;
+    Ok((Some(since_epoch.as_millis() as u64), None))
 }
 
-fn all(client: &mut Client, id: Option<u64>) -> Result<Vec<DrainStatus>, ClientError> {
+/// The drain with the id, or all drains if none is given.
+fn selected_drains(client: &mut Client, id: Option<u64>) -> Result<Vec<DrainStatus>, ClientError> {
     match id {
         Some(id) => client.drain(id).map(|drain| vec![drain]),
         None => client.drains(),
     }
 }
 
-/// The drain that is meant where none is named: the only one that is on.
-fn one(client: &mut Client, id: Option<u64>) -> Result<u64, ClientError> {
+/// The id that was given, or else the id of the only active drain. It is an error if there is none, or more than one.
+fn selected_id(client: &mut Client, id: Option<u64>) -> Result<u64, ClientError> {
     if let Some(id) = id {
         return Ok(id);
     }
-    let on: Vec<u64> = client.drains()?.iter().filter(|d| d.is_on()).map(|d| d.id).collect();
-    match on[..] {
+    let active: Vec<u64> = client.drains()?.iter().filter(|d| d.is_on()).map(|d| d.id).collect();
+    match active[..] {
         [id] => Ok(id),
         [] => Err(ClientError::Problem(Problem::new("unknown", 404, "no drain is on", ""))),
         _ => Err(ClientError::Problem(Problem::new("which", 409, "several drains are on; name one", ""))),
     }
 }
 
-fn show(drains: &[DrainStatus], json: bool) {
+fn print_drains(drains: &[DrainStatus], json: bool) {
     if json {
         println!("{}", serde_json::to_string_pretty(drains).unwrap_or_default());
         return;
@@ -207,7 +212,7 @@
         println!("no drain is on");
     }
     for drain in drains {
-        println!("{}", line(drain));
+        println!("{}", progress_line(drain));
         for (name, counts) in &drain.by_class {
             let parts: Vec<String> = counts
                 .iter()
@@ -219,8 +224,8 @@
     }
 }
 
-/// One line of how far a drain is.
-fn line(drain: &DrainStatus) -> String {
+/// The progress of a drain as one line of text.
+fn progress_line(drain: &DrainStatus) -> String {
     let mut out = format!("drain {} {}: {} of {} left", drain.id, drain.state, drain.total(), drain.at_start);
     let scope = &drain.scope;
     let parts = [
@@ -256,30 +261,31 @@
     out
 }
 
-/// Watches a drain to its end: a bar on a terminal, else a line whenever something has changed.
-fn watch(client: &mut Client, id: u64, every: Duration) -> Result<u8, ClientError> {
+/// Reports the progress of a drain until it ends: with a progress bar on a terminal, otherwise with a line for each change.
+/// Returns the exit code.
+fn watch_to_end(client: &mut Client, id: u64, every: Duration) -> Result<u8, ClientError> {
     let bar = std::io::stdout().is_terminal().then(|| {
         let bar = indicatif::ProgressBar::new(0);
         let style = indicatif::ProgressStyle::with_template("{bar:30} {pos}/{len} {msg}");
         bar.set_style(style.unwrap_or_else(|_| indicatif::ProgressStyle::default_bar()));
         bar
     });
-    let mut said = None;
+    let mut last_printed = None;
     loop {
         let drain = client.drain(id)?;
         match &bar {
             Some(bar) => {
-                let whole = drain.at_start.max(drain.total());
-                bar.set_length(whole);
-                bar.set_position(whole - drain.total());
-                bar.set_message(line(&drain));
+                let total = drain.at_start.max(drain.total());
+                bar.set_length(total);
+                bar.set_position(total - drain.total());
+                bar.set_message(progress_line(&drain));
             }
             None => {
-                let now = (drain.state.clone(), drain.left.clone());
-                if said.as_ref() != Some(&now) {
-                    said = Some(now);
-                    println!("{} {}", time(drain.now_ms), line(&drain));
-                    // Whoever reads this may be a pipe.
+                let current = (drain.state.clone(), drain.left.clone());
+                if last_printed.as_ref() != Some(&current) {
+                    last_printed = Some(current);
+                    println!("{} {}", format_time(drain.now_ms), progress_line(&drain));
+                    // Standard output may be a pipe, and its reader shall see each line at once.
                     let _ = std::io::stdout().flush();
                 }
             }
@@ -295,7 +301,7 @@
         if let Some(code) = code {
             if let Some(bar) = &bar {
                 bar.finish_and_clear();
-                println!("{}", line(&drain));
+                println!("{}", progress_line(&drain));
             }
             return Ok(code);
         }
@@ -303,7 +309,7 @@
     }
 }
 
-fn time(ms: u64) -> String {
+fn format_time(ms: u64) -> String {
     let at: SystemTime = UNIX_EPOCH + Duration::from_millis(ms);
     humantime::format_rfc3339_millis(at).to_string()
 }
--- a/src/cli/fleet.rs
+++ b/src/cli/fleet.rs
@@ -1,18 +1,18 @@
-//! What the fleet believes, in `indigohold status`.
+//! The part of `indigohold status` about the shared health of the fleet.
 
 use serde_json::Value;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// A line for the fleet, and one for each member that is not as it should be.
+/// One line for the fleet, and one for each member that is away or whose state is not known completely.
 pub fn text(shared: &Value) -> String {
     let number = |name: &str| shared[name].as_u64().unwrap_or(0);
     let members = shared["members"].as_array().map_or(&[][..], Vec::as_slice);
-    let (notes, bytes) = (&shared["sent"]["notes"], &shared["sent"]["bytes"]);
-    let refused = shared["refused"].as_object().into_iter().flatten();
-    let refused: u64 = refused.filter_map(|(_, n)| n.as_u64()).sum();
+    let (messages, bytes) = (&shared["sent"]["notes"], &shared["sent"]["bytes"]);
+    let refused_by_reason = shared["refused"].as_object().into_iter().flatten();
+    let refused: u64 = refused_by_reason.filter_map(|(_, n)| n.as_u64()).sum();
     let mut out = format!(
-        "fleet: member {} in life {}, {} of {} here; {} entries of others; {notes} notes and {bytes} bytes sent, {} heard, \
+        "fleet: member {} in life {}, {} of {} here; {} entries of others; {messages} notes and {bytes} bytes sent, {} heard, \
          {refused} refused; last turn {} ago\n",
         number("me"),
         number("incarnation"),
@@ -26,11 +26,11 @@
         let _ = writeln!(out, "fleet: life {by} goes by this one's number, which says nothing any more");
     }
     for member in members {
-        let (is, whole) = (member["standing"].as_str().unwrap_or("?"), member["whole"] == true);
-        if is != "here" || !whole {
+        let (standing, whole) = (member["standing"].as_str().unwrap_or("?"), member["whole"] == true);
+        if standing != "here" || !whole {
             let _ = writeln!(
                 out,
-                "member {}: {is} for {}, in life {}, last alive {}{}",
+                "member {}: {standing} for {}, in life {}, last alive {}{}",
                 member["member"],
                 span(&member["since_ms"]),
                 member["incarnation"],
@@ -44,9 +44,10 @@
     out
 }
 
+/// A time span given in milliseconds, or `never` if there is none.
 fn span(ms: &Value) -> String {
-    let span = |ms| humantime::format_duration(Duration::from_millis(ms)).to_string();
-    ms.as_u64().map_or_else(|| "never".to_owned(), span)
+    let format = |ms| humantime::format_duration(Duration::from_millis(ms)).to_string();
+    ms.as_u64().map_or_else(|| "never".to_owned(), format)
 }
 
 #[cfg(test)]
@@ -54,7 +55,7 @@
     use super::*;
 
     #[test]
-    fn the_fleet_has_a_line_and_so_has_who_is_not_as_it_should_be() {
+    fn text_has_a_line_for_the_fleet_and_one_for_each_deviating_member() {
         let shared = serde_json::json!({
             "me": 0, "incarnation": 7, "here": 2, "turn_ms": 40, "entries": 3, "heard": 9, "superseded_by": null,
             "sent": {"notes": 12, "bytes": 480}, "refused": {"old": 1, "foreign": 1},
--- a/src/cli/mod.rs
+++ b/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line. Without a sub-command the program serves, as with `run`.
+//! The command line. Without a sub-command, the program runs the daemon, as with `run`.
 
 pub mod ask;
 pub mod check;
@@ -17,99 +17,99 @@
 #[derive(Debug, Parser)]
 #[command(name = "indigohold", version, about)]
 pub struct Cli {
-    /// Where the files are.
+    /// Paths of the configuration files and folders.
     #[command(flatten)]
     pub paths: Paths,
-    /// How the log is written
+    /// Format of the log
     #[arg(long, global = true, env = "NODE_LOG_FORMAT", value_enum, default_value_t)]
     pub log_format: Format,
-    /// Which lines are written: a level, or levels by target, as in "info,discovery=debug"
+    /// Which log lines are written: a level, or levels by target, as in "info,discovery=debug"
     #[arg(long, global = true, env = "NODE_LOG", value_name = "LEVELS", default_value = "info")]
     pub log: String,
-    /// What to do; serves if absent
+    /// The sub-command; `run` if absent
     #[command(subcommand)]
     pub command: Option<Command>,
 }
 
-/// What to do.
+/// The sub-commands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Serve (the default)
+    /// Run the daemon (the default)
     Run,
-    /// Read every configuration file and print every fault; exit code 0 if there is none, else 2
+    /// Check every configuration file and print all faults; exit code 0 if there is none, else 2
     Check,
-    /// The instance as a whole, by its control channel
+    /// Show the status of the instance, through its control channel
     Status {
-        /// Where it listens.
+        /// Where the control channel listens.
         #[command(flatten)]
         socket: Socket,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Ask the whole fleet, by any courier's door (--control) or control channel (--socket): `where ID`, `held`, `figures`,
-    /// `history TENANT DESTINATION`, `retention [TENANT]`; exit code 0: complete, 4: something is missing, 3: it can't be asked
-    /// so, 1: nobody answered
+    /// Ask the whole fleet, through any courier's admin server (--control) or control channel (--socket): `where ID`, `held`,
+    /// `figures`, `history TENANT DESTINATION`, `retention [TENANT]`; exit code 0: complete, 4: some answers are missing, 3: the
+    /// query is malformed, 1: no answer came
     Ask {
         /// Where the control channel listens.
         #[command(flatten)]
         socket: Socket,
-        /// The kind of question, and what exactly
+        /// Kind of the query, and its subject
         #[arg(required = true, value_name = "KIND [SUBJECT]")]
         words: Vec<String>,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Empty an instance, or a part of what it holds, by its control channel
+    /// Drain an instance, or a part of its messages, through its control channel
     Drain {
-        /// Where it listens.
+        /// Where the control channel listens.
         #[command(flatten)]
         socket: Socket,
-        /// What to do.
+        /// The action.
         #[command(subcommand)]
         what: Drain,
     },
-    /// What is kept of ended messages, by whom, and what must be forgotten, by the control channel
+    /// How long ended messages are kept, which couriers honour this, and what is forgotten, through the control channel
     Retention {
-        /// Where it listens.
+        /// Where the control channel listens.
         #[command(flatten)]
         socket: Socket,
-        /// What to do.
+        /// The action.
         #[command(subcommand)]
         what: Retention,
     },
-    /// Send ended messages of a tenant to a destination again, by the control channel
+    /// Send ended messages of a tenant to a destination again, through the control channel
     Replay {
-        /// Where it listens.
+        /// Where the control channel listens.
         #[command(flatten)]
         socket: Socket,
-        /// What to do.
+        /// The action.
         #[command(subcommand)]
         what: Replay,
     },
-    /// Whether the running process takes clients, by the operators' door; exit code 3: it does not
+    /// Whether the running process accepts clients, through the admin server; exit code 3: it does not
     Ready,
-    /// The running process's figures, by the operators' door
+    /// Print the metrics of the running process, through the admin server
     Telemetry,
-    /// Leave an endpoint out until it is included again, by the operators' door
+    /// Exclude an endpoint until it is included again, through the admin server
     Exclude {
-        /// Its id, as discovery lists it
+        /// Id of the endpoint, as discovery lists it
         id: String,
     },
-    /// Put an endpoint back, by the operators' door
+    /// Include an excluded endpoint again, through the admin server
     Include {
-        /// Its id
+        /// Id of the endpoint
         id: String,
     },
-    /// The register of backends: what is kept of it, and the operators' static file
+    /// The registry of backends: the kept copy of its list, and the operators' static file
     #[command(subcommand)]
     Register(Register),
 }
 
-/// Whose messages; what is absent means all.
+/// Selects messages. An argument that is absent matches all messages.
 #[derive(Debug, Clone, clap::Args)]
-pub struct Whose {
+pub struct MessageSelection {
     /// Name of the tenant
     #[arg(long)]
     pub tenant: Option<String>,
@@ -121,132 +121,133 @@
     pub destination: Option<u16>,
 }
 
-/// What to do about retention.
+/// Actions on retention.
 #[derive(Debug, Subcommand)]
 pub enum Retention {
-    /// By tenant: honoured by whom, not by whom, since when unheard, and what is kept; exit code 3: not by all
+    /// By tenant, show which couriers honour the policies, which do not, which are unheard and since when, and what is kept; exit
+    /// code 3: not all couriers honour them
     Show {
         /// Only this tenant
         #[arg(long)]
         tenant: Option<String>,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Say for how long ended messages are kept; what is longer holds for what ends from now on
+    /// Set how long ended messages are kept; a longer time applies to messages that end from now on
     Set {
-        /// Whose messages.
+        /// The messages concerned.
         #[command(flatten)]
-        whose: Whose,
-        /// For how long: 30days, 12h
+        whose: MessageSelection,
+        /// How long to keep them: 30days, 12h
         #[arg(long, value_name = "TIME")]
         keep: String,
-        /// They may be sent again, each so often; not at all if absent
+        /// How often each message may be sent again; not at all if absent
         #[arg(long, value_name = "TIMES")]
         replays: Option<u8>,
     },
-    /// Stop ageing, or let it go on
+    /// Stop the deletion by age, or resume it
     Hold {
-        /// Whose messages: those of a policy that is there.
+        /// The messages concerned: those of an existing policy.
         #[command(flatten)]
-        whose: Whose,
-        /// Let it go on
+        whose: MessageSelection,
+        /// Resume the deletion by age
         #[arg(long)]
         release: bool,
     },
-    /// Forget everything that ended up to a moment, for ever, everywhere
+    /// Forget all messages that ended up to a time, for good, in the whole fleet
     Forget {
-        /// Whose messages.
+        /// The messages concerned.
         #[command(flatten)]
-        whose: Whose,
-        /// Up to when (2026-12-01T18:00:00Z); now if absent
+        whose: MessageSelection,
+        /// End of the span to forget (2026-12-01T18:00:00Z); now if absent
         #[arg(long, value_name = "TIME")]
         until: Option<String>,
-        /// Also where a hold is known
+        /// Forget messages under a hold too
         #[arg(long)]
         despite_hold: bool,
     },
 }
 
-/// What is to be sent again.
+/// Selects the messages to send again.
 #[derive(Debug, Clone, clap::Args)]
-pub struct Want {
+pub struct ReplaySelection {
     /// Name of the tenant
     #[arg(long)]
     pub tenant: String,
     /// Number of the destination
     #[arg(long, value_name = "NUMBER")]
     pub destination: u16,
-    /// What ended from then on (2026-12-01T18:00:00Z)
+    /// Start of the span in which the messages ended (2026-12-01T18:00:00Z)
     #[arg(long, value_name = "TIME")]
     pub since: String,
-    /// And before then
+    /// End of the span, exclusive
     #[arg(long, value_name = "TIME")]
     pub until: String,
-    /// The partner says that it has lost them, and takes what it may have seen
+    /// The partner has lost the messages, and accepts repeats of those that it may have seen
     #[arg(long)]
     pub lost: bool,
-    /// Why: a ticket's number. The same words make the same order
+    /// Reason, such as a ticket number. The same selection and reason make the same order
     #[arg(long)]
     pub reason: String,
 }
 
-/// What to do about sending again.
+/// Actions on replays.
 #[derive(Debug, Subcommand)]
 pub enum Replay {
-    /// How many would go, and which may not and why; nothing is sent
+    /// Show how many messages would be sent, and how many may not be sent and why; nothing is sent
     Plan {
-        /// What.
+        /// The messages to send again.
         #[command(flatten)]
-        want: Want,
+        want: ReplaySelection,
     },
-    /// Send them, behind all live traffic; an order that runs already goes on as it is
+    /// Send the messages, after all live traffic; an order that already runs continues unchanged
     Run {
-        /// What.
+        /// The messages to send again.
         #[command(flatten)]
-        want: Want,
+        want: ReplaySelection,
     },
-    /// How far orders are, over the whole fleet
+    /// Show the progress of orders in the whole fleet
     Status {
-        /// Only the one of this number
+        /// Show only the order with this id
         id: Option<String>,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Begin nothing more of an order; what is under way ends
+    /// Stop an order: no further message is sent, and calls in flight finish
     Stop {
-        /// Its number, as `status` says it
+        /// Id of the order, as `status` shows it
         id: String,
     },
 }
 
-/// Which instance is meant.
+/// Selects the instance.
 #[derive(Debug, Clone, clap::Args)]
 pub struct Socket {
-    /// The control channel's socket, if not the one of the control file
+    /// Socket of the control channel, if it is not the one that the control file names
     #[arg(long, global = true, value_name = "PATH")]
     pub socket: Option<PathBuf>,
 }
 
-/// What to do about drains.
+/// Actions on drains.
 #[derive(Debug, Subcommand)]
 pub enum Drain {
-    /// Start a drain, or give the one of the same scope a new deadline
+    /// Start a drain, or set a new deadline for the drain with the same scope
     Start {
         /// The deadline: a length of time (90s, 5m) or a time (2026-12-01T18:00:00Z)
         #[arg(long)]
         by: String,
-        /// Why, for whoever looks at it
+        /// Reason, for people who look at the drain
         #[arg(long, default_value = "")]
         reason: String,
-        /// Where clients may go meanwhile: a URI
+        /// URI that clients may use during the drain
         #[arg(long, value_name = "URI")]
         elsewhere: Option<String>,
-        /// Only what this front took on: platform or mail
+        /// Only messages from this frontend: platform or mail
         #[arg(long)]
         front: Option<String>,
-        /// Only what goes to this destination
+        /// Only messages to this destination
         #[arg(long)]
         dest: Option<u16>,
         /// Only messages of this class
@@ -255,65 +256,65 @@
         /// Only messages of this tenant
         #[arg(long)]
         tenant: Option<String>,
-        /// Watch it to its end
+        /// Watch the drain until it ends
         #[arg(long)]
         wait: bool,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// How far drains are
+    /// Show the progress of drains
     Status {
-        /// Only this one
+        /// Show only this drain
         id: Option<u64>,
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
-    /// Watch a drain to its end; exit code 0: emptied, 3: messages were given up at the deadline, 4: called off, 5: all
-    /// that was left at the deadline was handed back
+    /// Watch a drain until it ends; exit code 0: emptied, 3: messages were given up at the deadline, 4: cancelled, 5: all
+    /// messages left at the deadline were handed back
     Watch {
-        /// Which one; the only one that is on if absent
+        /// Id of the drain; the only active drain if absent
         id: Option<u64>,
-        /// How often to look, in milliseconds
+        /// Interval between two looks, in milliseconds
         #[arg(long, default_value_t = 500)]
         every_ms: u64,
     },
-    /// Call a drain off: service goes on as before; exit code 3 if its deadline came first
+    /// Cancel a drain, and accept messages as before; exit code 3 if its deadline has passed already
     Cancel {
-        /// Which one; the only one that is on if absent
+        /// Id of the drain; the only active drain if absent
         id: Option<u64>,
     },
-    /// Take service up again after a drain that is over
+    /// Close a finished drain, and accept messages again
     Close {
-        /// Which one; the only one that is on if absent
+        /// Id of the drain; the only active drain if absent
         id: Option<u64>,
     },
 }
 
-/// What to do with the register.
+/// Actions on the registry of backends.
 #[derive(Debug, Subcommand)]
 pub enum Register {
-    /// Print the list kept in the state folder, and its age
+    /// Print the list that is kept in the state folder, and its age
     Show {
-        /// As JSON
+        /// Print JSON
         #[arg(long)]
         json: bool,
     },
     /// Write the kept list as a static file
     Export {
-        /// Where to; standard output if absent
+        /// File to write; standard output if absent
         #[arg(long, value_name = "FILE")]
         out: Option<PathBuf>,
-        /// Replace a file that is there
+        /// Replace an existing file
         #[arg(long)]
         force: bool,
     },
-    /// Check a list and put it in place of the operators' static file; a running instance takes it up by itself
+    /// Check a list and replace the operators' static file with it; a running instance reads the new file by itself
     Import {
-        /// The list, in discovery's form
+        /// File with the list, in discovery's format
         file: PathBuf,
-        /// Add to the static file: its other entries stay
+        /// Add to the static file: entries that are not in the list stay
         #[arg(long)]
         merge: bool,
     },
--- a/src/cli/replay.rs
+++ b/src/cli/replay.rs
@@ -1,8 +1,8 @@
-//! `indigohold replay ...`: sending ended messages again, by the control channel of any one courier.
+//! `indigohold replay ...`: sends ended messages again, through the control channel of any one courier.
 
-use super::drain::{client, failed};
-use super::retention::{moment, time};
-use super::{Replay, Socket, Want};
+use super::drain::{client, print_error};
+use super::retention::{format_time, parse_time};
+use super::{Replay, ReplaySelection, Socket};
 use crate::control::client::{Client, ClientError};
 use crate::control::replay::{FleetReplay, ReplayPart, ReplayRequest};
 use std::fmt::Write as _;
@@ -10,19 +10,22 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Exit code: the command succeeded.
 const DONE: u8 = 0;
+/// Exit code: the request was refused or is malformed.
 const REFUSED: u8 = 2;
-/// Not every courier has answered.
-const NOT_BY_ALL: u8 = 3;
-/// The others' plans are waited for so long, and looked for so often.
-const PLANS: Duration = Duration::from_secs(5);
-const LOOK: Duration = Duration::from_millis(100);
+/// Exit code: not every courier has reported on the order.
+const INCOMPLETE: u8 = 3;
+/// How long `replay plan` waits for the plans of the other couriers.
+const PLAN_TIMEOUT: Duration = Duration::from_secs(5);
+/// How often `replay plan` looks for them.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Carries it out: the exit code, after all has been printed.
+/// Runs the command and prints its result. Returns the exit code.
 pub fn run(control_file: &Path, socket: &Socket, what: &Replay) -> u8 {
-    let want = match what {
-        Replay::Plan { want } | Replay::Run { want } => match shape(want) {
-            Ok(want) => Some(want),
+    let request = match what {
+        Replay::Plan { want } | Replay::Run { want } => match replay_request(want) {
+            Ok(request) => Some(request),
             Err(e) => {
                 eprintln!("{e}");
                 return REFUSED;
@@ -37,49 +40,49 @@
             return REFUSED;
         }
     };
-    let done = match (what, &want) {
-        (Replay::Plan { .. }, Some(want)) => plan(&mut client, want),
-        (Replay::Run { .. }, Some(want)) => {
-            client.replay_run(want).and_then(|run| one(&mut client, &run.id)).inspect(|fleet| {
+    let result = match (what, &request) {
+        (Replay::Plan { .. }, Some(request)) => plan(&mut client, request),
+        (Replay::Run { .. }, Some(request)) => {
+            client.replay_run(request).and_then(|run| fleet_progress(&mut client, &run.id)).inspect(|fleet| {
                 print!("{}", text(fleet));
                 println!("it goes on by itself, at every courier that hears of it: 'replay status', 'replay stop {}'", fleet.id);
             })
         }
         (Replay::Stop { id }, _) => {
-            client.replay_stop(id).and_then(|_| one(&mut client, id)).inspect(|fleet| print!("{}", text(fleet)))
+            client.replay_stop(id).and_then(|_| fleet_progress(&mut client, id)).inspect(|fleet| print!("{}", text(fleet)))
         }
         (Replay::Status { id, json }, _) => return status(&mut client, id.as_deref(), *json),
         _ => return REFUSED,
     };
-    done.map_or_else(|e| failed(&e), |fleet| by_all(&[fleet]))
+    result.map_or_else(|e| print_error(&e), |fleet| completeness_code(&[fleet]))
 }
 
-fn by_all(fleets: &[FleetReplay]) -> u8 {
+fn completeness_code(fleets: &[FleetReplay]) -> u8 {
     match fleets.iter().all(|f| f.unanswered.is_empty() && f.missing.is_empty()) {
         true => DONE,
-        false => NOT_BY_ALL,
+        false => INCOMPLETE,
     }
 }
 
-fn one(client: &mut Client, id: &str) -> Result<FleetReplay, ClientError> {
+fn fleet_progress(client: &mut Client, id: &str) -> Result<FleetReplay, ClientError> {
     client.replay_fleet(id)
 }
 
-/// Waits for the others' parts, for a while.
-fn plan(client: &mut Client, want: &ReplayRequest) -> Result<FleetReplay, ClientError> {
-    let here = client.replay_plan(want)?;
-    let until = Instant::now() + PLANS;
+/// Plans the order, waits up to [`PLAN_TIMEOUT`] for the plans of the other couriers, and prints all plans.
+fn plan(client: &mut Client, request: &ReplayRequest) -> Result<FleetReplay, ClientError> {
+    let own_plan = client.replay_plan(request)?;
+    let until = Instant::now() + PLAN_TIMEOUT;
     let fleet = loop {
-        let fleet = one(client, &here.id)?;
-        let waits = fleet.parts.values().any(|part| part.state == "waits");
-        if (fleet.unanswered.is_empty() && !waits) || Instant::now() >= until {
+        let fleet = fleet_progress(client, &own_plan.id)?;
+        let some_wait = fleet.parts.values().any(|part| part.state == "waits");
+        if (fleet.unanswered.is_empty() && !some_wait) || Instant::now() >= until {
             break fleet;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     };
     print!("{}", text(&fleet));
-    if here.cut {
-        println!("courier {} holds more: give the order again once this one is done", here.me);
+    if own_plan.cut {
+        println!("courier {} holds more: give the order again once this one is done", own_plan.me);
     }
     Ok(fleet)
 }
@@ -89,32 +92,34 @@
         Some(id) => Ok(vec![id.to_owned()]),
         None => client.replays().map(|all| all.into_iter().map(|run| run.id).collect()),
     };
-    let all = ids.and_then(|ids| ids.iter().map(|id| one(client, id)).collect::<Result<Vec<_>, _>>());
+    let all =
+        ids.and_then(|ids| ids.iter().map(|id| fleet_progress(client, id)).collect::<Result<Vec<_>, _>>());
     let all = match all {
         Ok(all) => all,
-        Err(e) => return failed(&e),
+        Err(e) => return print_error(&e),
     };
     match json {
         true => println!("{}", serde_json::to_string_pretty(&all).unwrap_or_default()),
         false if all.is_empty() => println!("no order is known here"),
         false => all.iter().for_each(|fleet| print!("{}", text(fleet))),
     }
-    by_all(&all)
+    completeness_code(&all)
 }
 
-fn shape(want: &Want) -> Result<ReplayRequest, String> {
+fn replay_request(want: &ReplaySelection) -> Result<ReplayRequest, String> {
     Ok(ReplayRequest {
         tenant: want.tenant.clone(),
         destination: want.destination,
-        since_ms: moment(&want.since).map_err(|e| format!("--since: {e}"))?,
-        until_ms: moment(&want.until).map_err(|e| format!("--until: {e}"))?,
+        since_ms: parse_time(&want.since).map_err(|e| format!("--since: {e}"))?,
+        until_ms: parse_time(&want.until).map_err(|e| format!("--until: {e}"))?,
         lost: want.lost,
         reason: want.reason.clone(),
     })
 }
 
+/// The progress of an order as text for people.
 fn text(fleet: &FleetReplay) -> String {
-    let sum = |of: fn(&ReplayPart) -> u64| fleet.parts.values().map(of).sum::<u64>();
+    let sum = |count: fn(&ReplayPart) -> u64| fleet.parts.values().map(count).sum::<u64>();
     let state = match (fleet.go, fleet.stopped) {
         (_, true) => "to stop",
         (true, _) => "to be run",
@@ -129,7 +134,7 @@
         fleet.parts.len() + fleet.unanswered.len() + fleet.missing.len()
     );
     for (node, part) in &fleet.parts {
-        let _ = writeln!(out, "  courier {node} {}", line(part));
+        let _ = writeln!(out, "  courier {node} {}", part_text(part));
     }
     for node in &fleet.unanswered {
         let _ = writeln!(out, "  courier {node} is there and has not answered yet");
@@ -137,23 +142,25 @@
     for (node, missing) in &fleet.missing {
         let _ = write!(out, "  courier {node} is away, its part is missing, not forgotten: ");
         let _ = match missing.oldest_ms {
-            Some(ms) => write!(out, "it held some from {} on", time(ms)),
+            Some(ms) => write!(out, "it held some from {} on", format_time(ms)),
             None => write!(out, "what it holds is not known"),
         };
-        let last =
-            missing.last.as_ref().map(|part| format!("; at {} it said: {}", time(part.at_ms), line(part)));
+        let last = missing
+            .last
+            .as_ref()
+            .map(|part| format!("; at {} it said: {}", format_time(part.at_ms), part_text(part)));
         let _ = writeln!(out, "{}", last.unwrap_or_default());
     }
     out
 }
 
-fn line(part: &ReplayPart) -> String {
+fn part_text(part: &ReplayPart) -> String {
     let mut out = format!(
         "{}: {} to go, {} taken, {} not taken, {} passed by",
         part.state, part.left, part.taken, part.refused, part.passed
     );
-    for (why, many) in &part.not {
-        let _ = write!(out, "; {many} may not: {why}");
+    for (reason, count) in &part.not {
+        let _ = write!(out, "; {count} may not: {reason}");
     }
     if part.state == "waits" {
         out.push_str("; it has not heard enough others, and plans once it has");
--- a/src/cli/retention.rs
+++ b/src/cli/retention.rs
@@ -1,20 +1,22 @@
-//! `indigohold retention ...`: what is kept of ended messages, by the control channel.
+//! `indigohold retention ...`: how long ended messages are kept, through the control channel.
 
-use super::drain::{client, failed};
-use super::{Retention, Socket, Whose};
+use super::drain::{client, print_error};
+use super::{MessageSelection, Retention, Socket};
 use crate::control::retention::{RetentionOrder, RetentionScope, RetentionStatus};
 use std::fmt::Write as _;
 use std::path::Path;
 use std::time::{Duration, UNIX_EPOCH};
 
+/// Exit code: the command succeeded.
 const DONE: u8 = 0;
+/// Exit code: the request was refused or is malformed.
 const REFUSED: u8 = 2;
-/// Not every courier honours it, as far as is known.
+/// Exit code: not every courier is known to honour the policies.
 const NOT_BY_ALL: u8 = 3;
 
-/// Carries it out: the exit code, after all has been printed.
+/// Runs the command and prints its result. Returns the exit code.
 pub fn run(control_file: &Path, socket: &Socket, what: &Retention) -> u8 {
-    let order = match order(what) {
+    let order = match retention_order(what) {
         Ok(order) => order,
         Err(e) => {
             eprintln!("{e}");
@@ -32,136 +34,143 @@
         Some(order) => client.order(order),
         None => client.retention(),
     };
-    let mut shape = match answer {
-        Ok(shape) => shape,
-        Err(e) => return failed(&e),
+    let mut status = match answer {
+        Ok(status) => status,
+        Err(e) => return print_error(&e),
     };
     if let Retention::Show { tenant: Some(tenant), .. } = what {
-        shape.tenants.retain(|t| t.tenant == *tenant);
+        status.tenants.retain(|t| t.tenant == *tenant);
     }
     match what {
         Retention::Show { json: true, .. } => {
-            println!("{}", serde_json::to_string_pretty(&shape).unwrap_or_default());
+            println!("{}", serde_json::to_string_pretty(&status).unwrap_or_default());
         }
-        Retention::Show { .. } => print!("{}", text(&shape)),
+        Retention::Show { .. } => print!("{}", text(&status)),
         Retention::Forget { .. } => {
             println!("given; it is done once 'indigohold retention show' says that it is in force");
-            print!("{}", text(&shape));
+            print!("{}", text(&status));
         }
-        _ => print!("{}", text(&shape)),
+        _ => print!("{}", text(&status)),
     }
     match what {
-        Retention::Show { .. } if shape.tenants.iter().any(|t| !t.by_all) => NOT_BY_ALL,
+        Retention::Show { .. } if status.tenants.iter().any(|t| !t.by_all) => NOT_BY_ALL,
         _ => DONE,
     }
 }
 
-fn order(what: &Retention) -> Result<Option<RetentionOrder>, String> {
-    let shape = |w: &Whose| RetentionScope {
-        tenant: w.tenant.clone(),
-        class: w.class.clone(),
-        destination: w.destination,
+fn retention_order(what: &Retention) -> Result<Option<RetentionOrder>, String> {
+    let scope = |selection: &MessageSelection| RetentionScope {
+        tenant: selection.tenant.clone(),
+        class: selection.class.clone(),
+        destination: selection.destination,
     };
     Ok(match what {
         Retention::Show { .. } => None,
         Retention::Set { whose, keep, replays } => {
             let keep = humantime::parse_duration(keep).map_err(|e| format!("--keep: {e}"))?;
             let keep_s = u32::try_from(keep.as_secs()).map_err(|_| "--keep: longer than 8.5 years")?;
-            Some(RetentionOrder::Set { whose: shape(whose), keep_s, replays: replays.unwrap_or(0) })
+            Some(RetentionOrder::Set { whose: scope(whose), keep_s, replays: replays.unwrap_or(0) })
         }
         Retention::Hold { whose, release } => {
-            Some(RetentionOrder::Hold { whose: shape(whose), on: !release })
+            Some(RetentionOrder::Hold { whose: scope(whose), on: !release })
         }
         Retention::Forget { whose, until, despite_hold } => {
-            let until_ms = until.as_deref().map(moment).transpose().map_err(|e| format!("--until: {e}"))?;
-            Some(RetentionOrder::Forget { whose: shape(whose), until_ms, despite_hold: *despite_hold })
+            let until_ms =
+                until.as_deref().map(parse_time).transpose().map_err(|e| format!("--until: {e}"))?;
+            Some(RetentionOrder::Forget { whose: scope(whose), until_ms, despite_hold: *despite_hold })
         }
     })
 }
 
-/// A moment, in milliseconds since 1970.
-pub(super) fn moment(text: &str) -> Result<u64, String> {
+/// Parses a time (RFC 3339) as milliseconds since 1970.
+pub(super) fn parse_time(text: &str) -> Result<u64, String> {
     let time = humantime::parse_rfc3339_weak(text).map_err(|e| format!("{text:?}: {e}"))?;
-    let since = time.duration_since(UNIX_EPOCH).map_err(|_| "long past".to_owned())?;
-    Ok(since.as_millis() as u64)
+    let since_epoch = time.duration_since(UNIX_EPOCH).map_err(|_| "long past".to_owned())?;
+    Ok(since_epoch.as_millis() as u64)
 }
 
-/// A moment as it is shown.
-pub(super) fn time(ms: u64) -> String {
+/// Formats milliseconds since 1970 as a time in seconds (RFC 3339).
+pub(super) fn format_time(ms: u64) -> String {
     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_millis(ms)).to_string()
 }
 
-fn text(shape: &RetentionStatus) -> String {
-    let mut out = format!("courier {}: {} messages kept", shape.me, shape.kept);
+/// The status as text for people.
+fn text(status: &RetentionStatus) -> String {
+    let mut out = format!("courier {}: {} messages kept", status.me, status.kept);
     let counts = [
-        (shape.deleted, "deleted by age or order"),
-        (shape.dropped, "dropped for want of room"),
-        (shape.dropped_held, "of these under a hold"),
-        (shape.unwritten, "not kept"),
+        (status.deleted, "deleted by age or order"),
+        (status.dropped, "dropped for want of room"),
+        (status.dropped_held, "of these under a hold"),
+        (status.unwritten, "not kept"),
     ];
     for (n, what) in counts.iter().filter(|(n, _)| *n > 0) {
         let _ = write!(out, ", {n} {what}");
     }
-    let heard = match (shape.informed, shape.fresh) {
+    let heard = match (status.informed, status.fresh) {
         (false, _) => "has not heard enough others in this life: shows nothing, sends nothing again",
         (_, false) => "has not heard enough others lately: sends nothing again",
         _ => "has heard enough others",
     };
     let _ = writeln!(out, "; {heard}");
-    if let Some(why) = &shape.closed {
+    if let Some(why) = &status.closed {
         let _ = writeln!(out, "CLOSED, nothing is kept here: {why}");
     }
-    for t in &shape.tenants {
-        let _ = write!(out, "{}: version {}", t.tenant, t.version);
-        if let Some(until) = t.forgotten_until_ms {
-            let state = if t.in_force { "in force" } else { "NOT in force yet" };
-            let _ = write!(out, ", forgotten up to {} ({state})", time(until));
+    for tenant in &status.tenants {
+        let _ = write!(out, "{}: version {}", tenant.tenant, tenant.version);
+        if let Some(until) = tenant.forgotten_until_ms {
+            let state = if tenant.in_force { "in force" } else { "NOT in force yet" };
+            let _ = write!(out, ", forgotten up to {} ({state})", format_time(until));
         }
-        let _ =
-            write!(out, ", honoured by {}", if t.by_all { "all".into() } else { list(t.honoured_by.iter()) });
-        if !t.not_by.is_empty() {
-            let not = t.not_by.iter().map(|(node, version)| format!("{node} (version {version})"));
-            let _ = write!(out, ", not by {}", list(not));
+        let _ = write!(
+            out,
+            ", honoured by {}",
+            if tenant.by_all { "all".into() } else { comma_list(tenant.honoured_by.iter()) }
+        );
+        if !tenant.not_by.is_empty() {
+            let not = tenant.not_by.iter().map(|(node, version)| format!("{node} (version {version})"));
+            let _ = write!(out, ", not by {}", comma_list(not));
         }
-        if !t.unheard.is_empty() {
-            let unheard = t.unheard.iter().map(|(node, since)| match since {
-                Some(since) => format!("{node} (since {})", time(*since)),
+        if !tenant.unheard.is_empty() {
+            let unheard = tenant.unheard.iter().map(|(node, since)| match since {
+                Some(since) => format!("{node} (since {})", format_time(*since)),
                 None => format!("{node} (never heard)"),
             });
-            let _ = write!(out, ", unheard {}", list(unheard));
+            let _ = write!(out, ", unheard {}", comma_list(unheard));
         }
-        if let Some(oldest) = t.oldest_ms {
-            let _ = write!(out, ", oldest held ended {}", time(oldest));
+        if let Some(oldest) = tenant.oldest_ms {
+            let _ = write!(out, ", oldest held ended {}", format_time(oldest));
         }
         out.push('\n');
     }
-    for p in &shape.policies {
+    for policy in &status.policies {
         let any = || "any".to_owned();
         let _ = write!(
             out,
             "  tenant {}, class {}, destination {}:",
-            p.whose.tenant.clone().unwrap_or_else(any),
-            p.whose.class.clone().unwrap_or_else(any),
-            p.whose.destination.map_or_else(any, |d| d.to_string())
+            policy.whose.tenant.clone().unwrap_or_else(any),
+            policy.whose.class.clone().unwrap_or_else(any),
+            policy.whose.destination.map_or_else(any, |d| d.to_string())
         );
-        if let Some(keep) = p.keep_s {
+        if let Some(keep) = policy.keep_s {
             let keep = humantime::format_duration(Duration::from_secs(u64::from(keep)));
-            let _ = write!(out, " version {}, kept {keep}, sent again {} times", p.version, p.replays);
+            let _ =
+                write!(out, " version {}, kept {keep}, sent again {} times", policy.version, policy.replays);
         }
-        let _ = write!(out, "{}", if p.hold { ", HELD" } else { "" });
-        if let Some(until) = p.forgotten_until_ms {
-            let _ = write!(out, ", forgotten up to {}", time(until));
+        let _ = write!(out, "{}", if policy.hold { ", HELD" } else { "" });
+        if let Some(until) = policy.forgotten_until_ms {
+            let _ = write!(out, ", forgotten up to {}", format_time(until));
         }
         out.push('\n');
     }
     out
 }
 
-fn list(of: impl Iterator<Item = impl ToString>) -> String {
-    let of: Vec<String> = of.map(|o| o.to_string()).collect();
-    if of.is_empty() {
+/// Joins the items with commas; `nobody` if there are none.
+fn comma_list(items: impl Iterator<Item = impl ToString>) -> String {
+    let items: Vec<String> = items.map(|item| item.to_string()).collect();
+    if items.is_empty() {
         "nobody".into()
     } else {
-        of.join(", ")
+        items.join(", ")
     }
 }
