--- a/src/ask/config.rs
+++ b/src/ask/config.rs
@@ -1,4 +1,4 @@
-//! The operators' file for questions to all, `deploy/ask.json`. A file that is not there leaves them off.
+//! The operators' settings for questions to the fleet, `deploy/ask.json`. Without the file, questions are disabled.
 
 use super::Kind;
 use crate::api::Micros;
@@ -9,131 +9,138 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// What an answer is worth, in units of the operators' own.
+/// The value of an answer, in units that the operators choose.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Worth {
-    /// All parts together; each part as much of it as it weighs.
-    pub share: f64,
-    /// On top, where none is missing.
-    pub whole: f64,
-    /// What one millisecond of waiting costs.
-    pub ms_costs: f64,
-    /// No question waits longer.
-    pub hard: Micros,
+pub struct AnswerValue {
+    /// Value of all parts together; each part has its weight's fraction of it.
+    pub share_value: f64,
+    /// Added where no part is missing.
+    pub completeness_bonus: f64,
+    /// Cost of one millisecond of waiting.
+    pub cost_per_ms: f64,
+    /// No question waits longer than this.
+    pub max_wait: Micros,
 }
 
-/// Latency where nothing is known yet: log-normal.
+/// The log-normal latency that is assumed before there is evidence.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Prior {
-    /// Half of the answers come by then.
+    /// Half of the answers arrive by this time.
     pub median: Micros,
     /// Standard deviation of the logarithm.
-    pub spread: f64,
-    /// As many answers as this counts for.
-    pub counts_as: f64,
+    pub log_std_dev: f64,
+    /// The prior has the weight of this number of answers.
+    pub equivalent_answers: f64,
 }
 
-/// What is remembered of latencies.
+/// How much of the measured latencies is remembered, and for how long.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Memory {
-    /// Answers of one courier to one kind of question; what is older fades.
+pub struct LatencyMemory {
+    /// Answers of one courier to one kind of question; older evidence decays.
     pub answers: f64,
-    /// What was learnt counts half after this time.
+    /// After this time evidence has half of its weight.
     pub half_life: Micros,
-    /// Couriers, at the most; the one that was heard of least lately makes room.
-    pub couriers: usize,
-    /// After the end of a question, answers still come through and are evidence for so long; 0 where its carrier closes the
-    /// connections at the end. Danger: where it says more than the carrier does, each that was given up seems never to answer.
+    /// Maximum number of couriers; beyond it, the one with the oldest evidence is evicted.
+    pub max_couriers: usize,
+    /// How long after the end of a question answers still arrive and count as evidence; 0 where the caller closes the
+    /// connections at the end. If this exceeds the time for which the caller keeps them open, each courier that was no longer
+    /// waited for is recorded as never answering.
     pub linger: Micros,
 }
 
-/// Bounds.
+/// Limits on what runs at the same time.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Most {
+pub struct Limits {
     /// Questions at a time.
     pub questions: usize,
-    /// Parts of one, and ended questions whose late answers are still of use, are bounded by the couriers and this.
-    pub ended: usize,
-    /// Connections to others.
+    /// Ended questions whose late answers are still recorded. The parts of each are bounded by the number of couriers.
+    pub ended_questions: usize,
+    /// Connections to other couriers.
     pub connections: usize,
 }
 
-/// A courier that may be asked. Its number is its place in the list.
+/// A courier that may be asked. Its number is its index in the list.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Peer {
-    /// Its name, as its own configuration has it.
+pub struct FleetMember {
+    /// Its name, as in its own settings.
     pub name: String,
-    /// Its operators' door, and the one that its next version has during and after an upgrade, if that differs.
-    pub doors: Vec<SocketAddr>,
+    /// The address of its admin server, and, if it differs, the one that its next version has during and after a handover.
+    pub admin_addresses: Vec<SocketAddr>,
 }
 
-/// What the file says.
+/// The settings in the file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AskConfig {
-    /// Questions are asked and answered.
+    /// Whether questions are asked and answered.
     pub enabled: bool,
     /// By kind, in the order of [`Kind::ALL`].
-    pub worth: [Worth; Kind::ALL.len()],
-    /// Cold start.
+    pub answer_values: [AnswerValue; Kind::ALL.len()],
+    /// The latency assumed before there is evidence.
     pub prior: Prior,
-    /// What is remembered.
-    pub memory: Memory,
-    /// Bounds.
-    pub most: Most,
-    /// All couriers of the fleet, the same list in the same order at each of them.
-    pub couriers: Vec<Peer>,
+    /// How much of the measured latencies is remembered.
+    pub latency_memory: LatencyMemory,
+    /// Limits on what runs at the same time.
+    pub limits: Limits,
+    /// All couriers of the fleet. Each courier must have the same list in the same order.
+    pub couriers: Vec<FleetMember>,
 }
 
-/// Couriers that the file may name.
-const COURIERS: usize = 1_024;
-/// The longest name.
-const NAME: usize = 64;
+/// Maximum number of couriers in the file.
+const MAX_COURIERS: usize = 1_024;
+/// Maximum length of a courier's name.
+const MAX_NAME_BYTES: usize = 64;
 
-const WORTH: Worth = Worth { share: 1.0, whole: 0.0, ms_costs: 0.001, hard: Micros(2_000_000) };
+const DEFAULT_ANSWER_VALUE: AnswerValue = AnswerValue {
+    share_value: 1.0,
+    completeness_bonus: 0.0,
+    cost_per_ms: 0.001,
+    max_wait: Micros(2_000_000),
+};
 
 impl Default for AskConfig {
     fn default() -> AskConfig {
         AskConfig {
             enabled: false,
-            worth: [WORTH; Kind::ALL.len()],
-            prior: Prior { median: Micros(20_000), spread: 1.5, counts_as: 1.0 },
-            memory: Memory {
+            answer_values: [DEFAULT_ANSWER_VALUE; Kind::ALL.len()],
+            prior: Prior { median: Micros(20_000), log_std_dev: 1.5, equivalent_answers: 1.0 },
+            latency_memory: LatencyMemory {
                 answers: 32.0,
                 half_life: Micros(3_600_000_000),
-                couriers: 1_024,
+                max_couriers: 1_024,
                 linger: Micros(10_000_000),
             },
-            most: Most { questions: 16, ended: 64, connections: 256 },
+            limits: Limits { questions: 16, ended_questions: 64, connections: 256 },
             couriers: Vec::new(),
         }
     }
 }
 
 impl AskConfig {
-    /// What an answer to this kind is worth.
-    pub fn worth(&self, kind: Kind) -> &Worth {
-        &self.worth[kind as usize]
+    /// The value of an answer to this kind.
+    pub fn answer_value(&self, kind: Kind) -> &AnswerValue {
+        &self.answer_values[kind as usize]
     }
 
-    /// The number of the courier of this name.
-    pub fn place(&self, name: &str) -> Option<usize> {
-        self.couriers.iter().position(|peer| peer.name == name)
+    /// The index of the courier with this name.
+    pub fn index_of(&self, name: &str) -> Option<usize> {
+        self.couriers.iter().position(|member| member.name == name)
     }
 
-    /// With so many connections at the most; the error says that this can't do.
-    pub fn within(mut self, connections: usize) -> Result<AskConfig, String> {
-        self.most.connections = self.most.connections.min(connections);
+    /// Limits the connections to at most `connections`; an error if these are too few to reach every other courier.
+    pub fn with_max_connections(mut self, connections: usize) -> Result<AskConfig, String> {
+        self.limits.connections = self.limits.connections.min(connections);
         let others = self.couriers.len().saturating_sub(1);
-        match others > self.most.connections {
-            true => {
-                Err(format!("couriers: {others} others, and {} connections for them", self.most.connections))
-            }
+        match others > self.limits.connections {
+            true => Err(format!(
+                "couriers: {others} others, and {} connections for them",
+                self.limits.connections
+            )),
             false => Ok(self),
         }
     }
 }
 
-/// Reads the file; the errors are all that is wrong with it.
+/// Reads the file. The error lists everything that is wrong with it.
 pub fn read(path: &Path) -> Result<AskConfig, Vec<Fault>> {
     match std::fs::read(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(AskConfig::default()),
@@ -142,93 +149,99 @@
     }
 }
 
-/// The file's text.
+/// Parses the file's text. The error lists everything that is wrong with it.
 pub fn parse(bytes: &[u8]) -> Result<AskConfig, Vec<Fault>> {
     checked::read(bytes, |doc| {
         let d = AskConfig::default();
-        let all = doc.object("worth", |doc| worth(doc, &WORTH)).unwrap_or(WORTH);
+        let all = doc
+            .object("worth", |doc| answer_value(doc, &DEFAULT_ANSWER_VALUE))
+            .unwrap_or(DEFAULT_ANSWER_VALUE);
         let mut by_kind = [all; Kind::ALL.len()];
         doc.object("kinds", |doc| {
-            for (word, kind) in Kind::ALL {
-                by_kind[kind as usize] = doc.object(word, |doc| worth(doc, &all)).unwrap_or(all);
+            for (name, kind) in Kind::ALL {
+                by_kind[kind as usize] = doc.object(name, |doc| answer_value(doc, &all)).unwrap_or(all);
             }
         });
         AskConfig {
             enabled: doc.flag("enabled", d.enabled),
-            worth: by_kind,
+            answer_values: by_kind,
             prior: doc.object("prior", |doc| prior(doc, &d.prior)).unwrap_or(d.prior),
-            memory: doc.object("memory", |doc| memory(doc, &d.memory)).unwrap_or(d.memory),
-            most: doc.object("most", |doc| most(doc, &d.most)).unwrap_or(d.most),
+            latency_memory: doc
+                .object("memory", |doc| latency_memory(doc, &d.latency_memory))
+                .unwrap_or(d.latency_memory),
+            limits: doc.object("most", |doc| limits(doc, &d.limits)).unwrap_or(d.limits),
             couriers: couriers(doc),
         }
     })
 }
 
-fn ms(doc: &ObjectReader, name: &str, default: Micros, within: RangeInclusive<f64>) -> Micros {
-    Micros::from_secs(doc.number(name, default.0 as f64 / 1e3, within) / 1e3)
+fn millis(doc: &ObjectReader, name: &str, default: Micros, range: RangeInclusive<f64>) -> Micros {
+    Micros::from_secs(doc.number(name, default.0 as f64 / 1e3, range) / 1e3)
 }
 
-fn worth(doc: &ObjectReader, d: &Worth) -> Worth {
-    let worth = Worth {
-        share: doc.number("share", d.share, 0.0..=1e9),
-        whole: doc.number("whole", d.whole, 0.0..=1e9),
-        ms_costs: doc.number("ms_costs", d.ms_costs, 0.0..=1e9),
-        hard: ms(doc, "hard_ms", d.hard, 1.0..=16_000.0),
+fn answer_value(doc: &ObjectReader, d: &AnswerValue) -> AnswerValue {
+    let value = AnswerValue {
+        share_value: doc.number("share", d.share_value, 0.0..=1e9),
+        completeness_bonus: doc.number("whole", d.completeness_bonus, 0.0..=1e9),
+        cost_per_ms: doc.number("ms_costs", d.cost_per_ms, 0.0..=1e9),
+        max_wait: millis(doc, "hard_ms", d.max_wait, 1.0..=16_000.0),
     };
-    if worth.share + worth.whole <= 0.0 {
-        doc.fault("share", "no answer is worth anything");
+    if value.share_value + value.completeness_bonus <= 0.0 {
+        doc.fault("share", "`share` and `whole` must not both be 0");
     }
-    worth
+    value
 }
 
 fn prior(doc: &ObjectReader, d: &Prior) -> Prior {
     Prior {
-        median: ms(doc, "median_ms", d.median, 1.0..=16_000.0),
-        spread: doc.number("spread", d.spread, 0.1..=4.0),
-        counts_as: doc.number("counts_as", d.counts_as, 0.1..=100.0),
+        median: millis(doc, "median_ms", d.median, 1.0..=16_000.0),
+        log_std_dev: doc.number("spread", d.log_std_dev, 0.1..=4.0),
+        equivalent_answers: doc.number("counts_as", d.equivalent_answers, 0.1..=100.0),
     }
 }
 
-fn memory(doc: &ObjectReader, d: &Memory) -> Memory {
-    Memory {
+fn latency_memory(doc: &ObjectReader, d: &LatencyMemory) -> LatencyMemory {
+    LatencyMemory {
         answers: doc.number("answers", d.answers, 4.0..=10_000.0),
         half_life: Micros::from_secs(doc.number("half_life_s", d.half_life.secs(), 1.0..=1e7)),
-        couriers: doc.whole("couriers", d.couriers as u64, 1..=4_096) as usize,
-        linger: ms(doc, "linger_ms", d.linger, 0.0..=60_000.0),
+        max_couriers: doc.whole("couriers", d.max_couriers as u64, 1..=4_096) as usize,
+        linger: millis(doc, "linger_ms", d.linger, 0.0..=60_000.0),
     }
 }
 
-fn most(doc: &ObjectReader, d: &Most) -> Most {
-    Most {
+fn limits(doc: &ObjectReader, d: &Limits) -> Limits {
+    Limits {
         questions: doc.whole("questions", d.questions as u64, 1..=256) as usize,
-        ended: doc.whole("ended", d.ended as u64, 1..=256) as usize,
+        ended_questions: doc.whole("ended", d.ended_questions as u64, 1..=256) as usize,
         connections: doc.whole("connections", d.connections as u64, 8..=4_096) as usize,
     }
 }
 
-fn couriers(doc: &ObjectReader) -> Vec<Peer> {
-    let list = doc.objects("couriers", COURIERS, |doc| {
+fn couriers(doc: &ObjectReader) -> Vec<FleetMember> {
+    let list = doc.objects("couriers", MAX_COURIERS, |doc| {
         let name = doc.text("name").unwrap_or_else(|| {
             doc.fault("name", "not set");
             String::new()
         });
-        if name.len() > NAME || !name.bytes().all(|b| b.is_ascii_graphic()) {
-            doc.fault("name", format!("no word of {NAME} letters at the most"));
+        if name.len() > MAX_NAME_BYTES || !name.bytes().all(|b| b.is_ascii_graphic()) {
+            doc.fault("name", format!("must be one word of at most {MAX_NAME_BYTES} ASCII characters"));
         }
-        let door = |name: &str| {
+        let address = |name: &str| {
             let text = doc.text(name)?;
             text.parse().map_err(|e| doc.fault(name, format!("{text:?}: {e}"))).ok()
         };
-        let (first, second) = (door("door"), door("second_door"));
+        let (first, second) = (address("door"), address("second_door"));
         if first.is_none() {
-            doc.fault("door", "it must be there");
+            doc.fault("door", "must be set to a valid address");
         }
-        Peer { name, doors: first.into_iter().chain(second).collect() }
+        FleetMember { name, admin_addresses: first.into_iter().chain(second).collect() }
     });
     let mut names = BTreeSet::new();
-    // Danger: one of two of a name would be taken for the other.
-    for twice in list.iter().filter(|peer| !peer.name.is_empty() && !names.insert(peer.name.clone())) {
-        doc.fault("couriers", format!("two go by the name {:?}", twice.name));
+    // Names must be unique: answers of one of two couriers with the same name would be credited to the other.
+    for duplicate in
+        list.iter().filter(|member| !member.name.is_empty() && !names.insert(member.name.clone()))
+    {
+        doc.fault("couriers", format!("two couriers have the name {:?}", duplicate.name));
     }
     list
 }
@@ -238,17 +251,26 @@
     use super::*;
 
     #[test]
-    fn the_file_in_deploy_holds_the_defaults_and_kinds_take_what_all_have() {
+    fn deployed_file_matches_the_defaults_and_kinds_inherit_the_common_values() {
         let file = include_bytes!("../../deploy/ask.json");
         assert_eq!(parse(file).unwrap(), AskConfig::default());
         assert!(!AskConfig::default().enabled);
         let text = br#"{"worth": {"ms_costs": 2}, "kinds": {"where": {"whole": 5}}}"#;
-        let read = parse(text).unwrap();
-        assert_eq!((read.worth(Kind::Where).whole, read.worth(Kind::Where).ms_costs), (5.0, 2.0));
-        assert_eq!(read.worth(Kind::Held).whole, 0.0);
+        let config = parse(text).unwrap();
+        assert_eq!(
+            (
+                config.answer_value(Kind::Where).completeness_bonus,
+                config.answer_value(Kind::Where).cost_per_ms
+            ),
+            (5.0, 2.0)
+        );
+        assert_eq!(config.answer_value(Kind::Held).completeness_bonus, 0.0);
         let text = br#"{"couriers": [{"name": "a", "door": "127.0.0.1:9901"}]}"#;
-        let door = "127.0.0.1:9901".parse().unwrap();
-        assert_eq!(parse(text).unwrap().couriers, [Peer { name: "a".into(), doors: vec![door] }]);
+        let address = "127.0.0.1:9901".parse().unwrap();
+        assert_eq!(
+            parse(text).unwrap().couriers,
+            [FleetMember { name: "a".into(), admin_addresses: vec![address] }]
+        );
     }
 
     #[test]
@@ -257,14 +279,14 @@
             "couriers": [{"name": "a", "door": "x"}, {"name": "a b", "door": "127.0.0.1:1"}, {"name": "a"}]}"#;
         let faults: Vec<String> = parse(text).unwrap_err().iter().map(ToString::to_string).collect();
         let expected = [
-            "worth.share: no answer is worth anything",
+            "worth.share: `share` and `whole` must not both be 0",
             "kinds.wher: no such setting",
             "prior.spread: 9 is not within 0.1 to 4",
             "couriers[0].door: \"x\": invalid socket address syntax",
-            "couriers[0].door: it must be there",
-            "couriers[1].name: no word of 64 letters at the most",
-            "couriers[2].door: it must be there",
-            "couriers: two go by the name \"a\"",
+            "couriers[0].door: must be set to a valid address",
+            "couriers[1].name: must be one word of at most 64 ASCII characters",
+            "couriers[2].door: must be set to a valid address",
+            "couriers: two couriers have the name \"a\"",
         ];
         assert_eq!(faults, expected);
     }
--- a/src/ask/latency.rs
+++ b/src/ask/latency.rs
@@ -1,39 +1,41 @@
-//! How long answers take, by courier and kind of question, learnt from answers and from silences: answers and exposure by
-//! bucket of time (piecewise exponential, the smooth kin of Kaplan and Meier's estimate). A silence is exposure without an
-//! answer, for as long as it lasted, and is never dropped. All of it fades with each question: of times that were not waited
-//! for lately the fleet's figures and the prior speak again, so that one that was given up is tried again now and then.
+//! How long answers take, by courier and kind of question, learnt from answers and from silences. Answers and exposure are
+//! counted by bucket of time: a piecewise exponential model, a smooth relative of the Kaplan-Meier estimator. A silence is
+//! exposure without an answer for as long as it lasted, and is never dropped. All evidence decays with each question: for
+//! latencies that were not waited for lately, the estimate returns to that of the fleet and to the prior, so that a courier
+//! that is no longer waited for is tried again from time to time.
 
-use super::entry::Heard;
-use super::{AskConfig, Courier, Kind};
+use super::entry::ReceivedEntries;
+use super::{AskConfig, CourierId, Kind};
 use crate::api::Micros;
 use std::collections::BTreeMap;
 
-/// Buckets of time, four an octave: the first ends at 0.3 ms, the last at 16.4 s.
+/// Buckets of time, four per octave: the first ends at 0.3 ms, the last at 16.4 s.
 pub const BUCKETS: usize = 64;
-const FIRST: f64 = 250.0;
-/// What the kind as a whole counts for in a courier's figures, in answers.
-const POOL_COUNTS: f32 = 2.0;
-/// One courier counts in the kind's figures for this at the most, in answers: one that never answers, asked a thousand
-/// times, is one courier, not a thousand.
-const ONE_COUNTS: f32 = 2.0;
-/// What others told counts for this at the most: in the kind's figures, and in one courier's.
-const HEARD_COUNTS: f32 = 8.0;
-/// Buckets before one that tell what to suppose of it, and how often the prior they count for, at the most.
-const NEAR: usize = 8;
-const NEAR_COUNTS: f32 = 3.0;
-/// Rates beyond are as good as at once.
-const RATE_MOST: f32 = 6.0;
+const BUCKET_ORIGIN_MICROS: f64 = 250.0;
+/// Weight of the kind's pooled rates in a courier's rates, in answers.
+const POOL_WEIGHT: f32 = 2.0;
+/// Maximum weight of one courier in the kind's pooled rates, in answers: a courier that never answers, asked a thousand times,
+/// weighs as one courier, not as a thousand.
+const MAX_COURIER_WEIGHT: f32 = 2.0;
+/// Maximum weight of the entries received from other couriers in the kind's pooled rates, in answers.
+const MAX_RECEIVED_WEIGHT: f32 = 8.0;
+/// Number of preceding buckets from which the rate of a bucket is extrapolated.
+const EXTRAPOLATION_BUCKETS: usize = 8;
+/// Maximum weight of that extrapolation, as a multiple of the prior's weight.
+const MAX_EXTRAPOLATION_WEIGHT: f32 = 3.0;
+/// Maximum rate per bucket; a higher one is practically an immediate answer.
+const MAX_RATE: f32 = 6.0;
 
 /// The end of a bucket.
 pub fn bucket_end(bucket: usize) -> Micros {
-    Micros((FIRST * ((bucket + 1) as f64 / 4.0).exp2()) as u64)
+    Micros((BUCKET_ORIGIN_MICROS * ((bucket + 1) as f64 / 4.0).exp2()) as u64)
 }
 
-/// The bucket of a latency; the last one holds all that is longer.
+/// The bucket of a latency. The last bucket has no end.
 pub fn bucket_of(latency: Micros) -> usize {
-    let at = 4.0 * (latency.0.max(1) as f64 / FIRST).log2();
+    let at = 4.0 * (latency.0.max(1) as f64 / BUCKET_ORIGIN_MICROS).log2();
     let guess = (at.max(0.0) as usize).min(BUCKETS - 1);
-    // Danger: rounding at an edge would credit a bucket that has no length left.
+    // Rounding near an edge may give the bucket that ends there, of which no time is left.
     if latency >= bucket_end(guess) {
         (guess + 1).min(BUCKETS - 1)
     } else {
@@ -49,227 +51,238 @@
     }
 }
 
-/// Which part of its bucket is over at this latency, 0 to 1.
-fn part_over(bucket: usize, latency: Micros) -> f32 {
+/// The fraction of the bucket that has elapsed at this latency, 0 to 1.
+fn elapsed_fraction(bucket: usize, latency: Micros) -> f32 {
     let (start, end) = (bucket_start(bucket), bucket_end(bucket));
     ((latency - start).0 as f32 / (end - start).0 as f32).min(1.0)
 }
 
-/// Expected latency: how many answers come, bucket by bucket, of those that have not come yet.
+/// Expected latency as a hazard rate: for each bucket, the rate at which answers arrive that have not arrived before.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Curve {
+pub struct LatencyCurve {
     rates: [f32; BUCKETS],
-    sums: [f32; BUCKETS + 1],
+    /// Sums of the rates of all buckets before each index.
+    cumulative: [f32; BUCKETS + 1],
 }
 
-impl Curve {
-    /// From rates a bucket: the chance to get through it without an answer is `exp(-rate)`.
-    pub fn new(rates: [f32; BUCKETS]) -> Curve {
-        let mut sums = [0.0; BUCKETS + 1];
+impl LatencyCurve {
+    /// Creates a curve from the rate of each bucket: the probability that no answer arrives in it is `exp(-rate)`.
+    pub fn new(rates: [f32; BUCKETS]) -> LatencyCurve {
+        let mut cumulative = [0.0; BUCKETS + 1];
         for b in 0..BUCKETS {
-            sums[b + 1] = sums[b] + rates[b];
+            cumulative[b + 1] = cumulative[b] + rates[b];
         }
-        Curve { rates, sums }
+        LatencyCurve { rates, cumulative }
     }
 
-    /// The rate in a bucket.
+    /// The rate of a bucket.
     pub fn rate(&self, bucket: usize) -> f32 {
         self.rates[bucket.min(BUCKETS - 1)]
     }
 
-    /// All rates before this latency: the chance of no answer by then is `exp(-sum)`.
-    pub fn sum(&self, latency: Micros) -> f32 {
+    /// The sum of the rates before this latency: the probability of no answer by then is `exp(-sum)`.
+    pub fn cumulative_rate(&self, latency: Micros) -> f32 {
         let bucket = bucket_of(latency);
-        self.sums[bucket] + self.rates[bucket] * part_over(bucket, latency)
+        self.cumulative[bucket] + self.rates[bucket] * elapsed_fraction(bucket, latency)
     }
 
-    /// As [`Curve::sum`] at the end of a bucket.
-    pub fn sum_at_end(&self, bucket: usize) -> f32 {
-        self.sums[bucket + 1]
+    /// [`LatencyCurve::cumulative_rate`] at the end of a bucket.
+    pub fn cumulative_rate_at_end(&self, bucket: usize) -> f32 {
+        self.cumulative[bucket + 1]
     }
 
-    /// By when this share of the answers comes; `None` if that many never come.
+    /// The latency by which this share of the answers arrives; `None` if fewer ever arrive.
     pub fn quantile(&self, share: f64) -> Option<Micros> {
-        let wanted = -(1.0 - share).ln() as f32;
-        let bucket = (0..BUCKETS).find(|&b| self.sums[b + 1] >= wanted)?;
-        let part = (wanted - self.sums[bucket]) / self.rates[bucket].max(1e-9);
+        let target = -(1.0 - share).ln() as f32;
+        let bucket = (0..BUCKETS).find(|&b| self.cumulative[b + 1] >= target)?;
+        let fraction = (target - self.cumulative[bucket]) / self.rates[bucket].max(1e-9);
         let (start, end) = (bucket_start(bucket), bucket_end(bucket));
-        Some(start + (end - start).scale(f64::from(part)))
+        Some(start + (end - start).scale(f64::from(fraction)))
     }
 }
 
-/// What is known of one courier's answers to one kind, 520 bytes.
-struct Sketch {
+/// The evidence on one courier's answers to one kind of question; 520 bytes.
+struct CourierEvidence {
     answers: [f32; BUCKETS],
     exposure: [f32; BUCKETS],
-    at: Micros,
+    /// When the half-life decay was last applied.
+    decayed_at: Micros,
 }
 
-impl Sketch {
-    fn fade(&mut self, by: f32) {
-        self.answers.iter_mut().chain(&mut self.exposure).for_each(|x| *x *= by);
+impl CourierEvidence {
+    fn decay(&mut self, factor: f32) {
+        self.answers.iter_mut().chain(&mut self.exposure).for_each(|x| *x *= factor);
     }
 
+    /// Adds the time from `from` to `to` after the question to the exposure.
     fn expose(&mut self, from: Micros, to: Micros) {
         if from >= to {
             return;
         }
         let (first, last) = (bucket_of(from), bucket_of(to));
         for b in first..=last {
-            let before = if b == first { part_over(b, from) } else { 0.0 };
-            let after = if b == last { part_over(b, to) } else { 1.0 };
+            let before = if b == first { elapsed_fraction(b, from) } else { 0.0 };
+            let after = if b == last { elapsed_fraction(b, to) } else { 1.0 };
             self.exposure[b] += after - before;
         }
     }
 }
 
-/// All that is known of latencies.
-pub struct Latency {
+/// Everything learnt about latencies: own measurements and the entries received from other couriers.
+pub struct LatencyModel {
     half_life: Micros,
-    keep: f32,
-    most: usize,
-    prior: Curve,
-    prior_counts: f32,
-    own: BTreeMap<(Kind, Courier), Sketch>,
-    pub(super) heard: [Heard; Kind::ALL.len()],
+    /// Factor by which evidence decays with each question.
+    question_decay: f32,
+    /// Maximum number of entries in `own`.
+    max_own: usize,
+    prior: LatencyCurve,
+    /// The prior's weight, in answers.
+    prior_weight: f32,
+    own: BTreeMap<(Kind, CourierId), CourierEvidence>,
+    pub(super) received: [ReceivedEntries; Kind::ALL.len()],
 }
 
-impl Latency {
-    /// Nothing known but the prior.
-    pub fn new(config: &AskConfig) -> Latency {
-        let (median, spread) = (config.prior.median.0 as f64, config.prior.spread);
-        let beyond = |t: Micros| (1.0 - normal((t.0 as f64 / median).ln() / spread)).max(1e-30);
+impl LatencyModel {
+    /// Creates a model that knows only the prior.
+    pub fn new(config: &AskConfig) -> LatencyModel {
+        let (median, log_std_dev) = (config.prior.median.0 as f64, config.prior.log_std_dev);
+        let survival = |t: Micros| (1.0 - normal((t.0 as f64 / median).ln() / log_std_dev)).max(1e-30);
         let rate = |b: usize| {
-            let start = if b == 0 { 1.0 } else { beyond(bucket_start(b)) };
-            ((start / beyond(bucket_end(b))).ln() as f32).clamp(0.0, RATE_MOST)
+            let start = if b == 0 { 1.0 } else { survival(bucket_start(b)) };
+            ((start / survival(bucket_end(b))).ln() as f32).clamp(0.0, MAX_RATE)
         };
-        Latency {
-            half_life: config.memory.half_life,
-            keep: 1.0 - 1.0 / config.memory.answers as f32,
-            most: config.memory.couriers * Kind::ALL.len(),
-            prior: Curve::new(std::array::from_fn(rate)),
-            prior_counts: config.prior.counts_as as f32,
+        LatencyModel {
+            half_life: config.latency_memory.half_life,
+            question_decay: 1.0 - 1.0 / config.latency_memory.answers as f32,
+            max_own: config.latency_memory.max_couriers * Kind::ALL.len(),
+            prior: LatencyCurve::new(std::array::from_fn(rate)),
+            prior_weight: config.prior.equivalent_answers as f32,
             own: BTreeMap::new(),
-            heard: Default::default(),
+            received: Default::default(),
         }
     }
 
-    fn faded(&self, since: Micros, now: Micros) -> f32 {
+    /// The factor by which evidence of `since` has decayed by `now`.
+    fn decay_factor(&self, since: Micros, now: Micros) -> f32 {
         (-((now - since).secs() / self.half_life.secs())).exp2() as f32
     }
 
-    fn sketch(&mut self, now: Micros, kind: Kind, courier: Courier) -> &mut Sketch {
-        // Danger: without a bound, couriers that come and go would fill the memory; who was longest silent goes.
-        if !self.own.contains_key(&(kind, courier)) && self.own.len() >= self.most {
-            let oldest = self.own.iter().min_by_key(|(_, s)| s.at).map(|(key, _)| *key);
+    fn evidence(&mut self, now: Micros, kind: Kind, courier: CourierId) -> &mut CourierEvidence {
+        // Without a bound, couriers that join and leave would exhaust the memory; the one with the oldest evidence is evicted.
+        if !self.own.contains_key(&(kind, courier)) && self.own.len() >= self.max_own {
+            let oldest = self.own.iter().min_by_key(|(_, evidence)| evidence.decayed_at).map(|(key, _)| *key);
             oldest.and_then(|key| self.own.remove(&key));
         }
         let half_life = self.half_life.secs();
-        let sketch = self.own.entry((kind, courier)).or_insert_with(|| Sketch {
+        let evidence = self.own.entry((kind, courier)).or_insert_with(|| CourierEvidence {
             answers: [0.0; BUCKETS],
             exposure: [0.0; BUCKETS],
-            at: now,
+            decayed_at: now,
         });
-        // Worth the work only now and then: a sixteenth of the half-life apart.
-        if (now - sketch.at).secs() * 16.0 > half_life {
-            sketch.fade((-((now - sketch.at).secs() / half_life)).exp2() as f32);
-            sketch.at = now;
+        // To save work, the decay is applied at most once per sixteenth of the half-life.
+        if (now - evidence.decayed_at).secs() * 16.0 > half_life {
+            evidence.decay((-((now - evidence.decayed_at).secs() / half_life)).exp2() as f32);
+            evidence.decayed_at = now;
         }
-        sketch
+        evidence
     }
 
-    /// No answer has come from `from` to `to` after it was asked; each stretch of time is to be told once.
-    pub fn silence(&mut self, now: Micros, kind: Kind, courier: Courier, from: Micros, to: Micros) {
-        self.sketch(now, kind, courier).expose(from, to);
+    /// Records that no answer arrived between `from` and `to`, both measured from the question. Each interval must be recorded
+    /// only once.
+    pub fn record_silence(&mut self, now: Micros, kind: Kind, courier: CourierId, from: Micros, to: Micros) {
+        self.evidence(now, kind, courier).expose(from, to);
     }
 
-    /// An answer has come at `at` after it was asked; silence was told until `from`.
-    pub fn answer(&mut self, now: Micros, kind: Kind, courier: Courier, from: Micros, at: Micros) {
-        let keep = self.keep;
-        let sketch = self.sketch(now, kind, courier);
-        sketch.expose(from, at);
-        sketch.answers[bucket_of(at)] += 1.0;
-        sketch.fade(keep);
+    /// Records an answer that arrived `at` after the question; the silence until `from` has been recorded.
+    pub fn record_answer(&mut self, now: Micros, kind: Kind, courier: CourierId, from: Micros, at: Micros) {
+        let decay = self.question_decay;
+        let evidence = self.evidence(now, kind, courier);
+        evidence.expose(from, at);
+        evidence.answers[bucket_of(at)] += 1.0;
+        evidence.decay(decay);
     }
 
-    /// Nothing more is to be expected; the silence has been told.
-    pub fn never(&mut self, now: Micros, kind: Kind, courier: Courier) {
-        let keep = self.keep;
-        self.sketch(now, kind, courier).fade(keep);
+    /// Records that no answer is expected any more; the silence has been recorded.
+    pub fn record_no_answer(&mut self, now: Micros, kind: Kind, courier: CourierId) {
+        let decay = self.question_decay;
+        self.evidence(now, kind, courier).decay(decay);
     }
 
-    /// Answers and exposure of a kind from own evidence, each courier for [`ONE_COUNTS`] at the most.
+    /// Answers and exposure of a kind from own evidence, each courier with a weight of at most [`MAX_COURIER_WEIGHT`].
     pub(super) fn own_pool(&self, now: Micros, kind: Kind) -> ([f32; BUCKETS], [f32; BUCKETS]) {
         let (mut answers, mut exposure) = ([0.0; BUCKETS], [0.0; BUCKETS]);
-        for sketch in self.of(kind).map(|(_, sketch)| sketch) {
-            let fade = self.faded(sketch.at, now);
+        for evidence in self.own_of(kind).map(|(_, evidence)| evidence) {
+            let decay = self.decay_factor(evidence.decayed_at, now);
             for b in 0..BUCKETS {
-                let counts = fade * ONE_COUNTS / (sketch.exposure[b] * fade + ONE_COUNTS);
-                answers[b] += sketch.answers[b] * counts;
-                exposure[b] += sketch.exposure[b] * counts;
+                let weight = decay * MAX_COURIER_WEIGHT / (evidence.exposure[b] * decay + MAX_COURIER_WEIGHT);
+                answers[b] += evidence.answers[b] * weight;
+                exposure[b] += evidence.exposure[b] * weight;
             }
         }
         (answers, exposure)
     }
 
-    fn of(&self, kind: Kind) -> impl Iterator<Item = (Courier, &Sketch)> {
-        let range = (kind, Courier(0))..=(kind, Courier(u16::MAX));
-        self.own.range(range).map(|((_, courier), sketch)| (*courier, sketch))
+    fn own_of(&self, kind: Kind) -> impl Iterator<Item = (CourierId, &CourierEvidence)> {
+        let range = (kind, CourierId(0))..=(kind, CourierId(u16::MAX));
+        self.own.range(range).map(|((_, courier), evidence)| (*courier, evidence))
     }
 
-    /// Couriers of which something is known, of one kind.
-    pub(super) fn couriers(&self, kind: Kind) -> Vec<Courier> {
-        self.of(kind).map(|(courier, _)| courier).collect()
+    /// Couriers with own evidence on a kind of question.
+    pub(super) fn known_couriers(&self, kind: Kind) -> Vec<CourierId> {
+        self.own_of(kind).map(|(courier, _)| courier).collect()
     }
 
-    /// The figures of a kind as a whole: own evidence, what others told, the prior.
-    pub fn pool(&self, now: Micros, kind: Kind) -> Curve {
+    /// The expected latency for a kind of question over the whole fleet: own evidence, received entries and the prior.
+    pub fn pooled_curve(&self, now: Micros, kind: Kind) -> LatencyCurve {
         let (answers, exposure) = self.own_pool(now, kind);
-        let told = self.heard[kind as usize].rates(|at| self.faded(at, now));
-        Curve::new(std::array::from_fn(|b| {
-            let heard = (told[b].0, weighed(told[b].0, told[b].1.min(HEARD_COUNTS)));
-            let rate = self.ahead(b, &answers, &exposure);
-            let prior = (rate, weighed(rate, self.prior_counts));
-            let above = answers[b] + heard.0 * heard.1 + prior.0 * prior.1;
-            (above / (exposure[b] + heard.1 + prior.1)).min(RATE_MOST)
+        let received = self.received[kind as usize].rates(|at| self.decay_factor(at, now));
+        LatencyCurve::new(std::array::from_fn(|b| {
+            let others = (received[b].0, exposure_for(received[b].0, received[b].1.min(MAX_RECEIVED_WEIGHT)));
+            let rate = self.assumed_rate(b, &answers, &exposure);
+            let prior = (rate, exposure_for(rate, self.prior_weight));
+            let weighted_answers = answers[b] + others.0 * others.1 + prior.0 * prior.1;
+            (weighted_answers / (exposure[b] + others.1 + prior.1)).min(MAX_RATE)
         }))
     }
 
-    /// The rate that is supposed before there is evidence: the prior's, and that of the two octaves before the bucket. Where
-    /// many have been silent for long, those that have one reason in common will not answer in the next moment either.
-    fn ahead(&self, bucket: usize, answers: &[f32; BUCKETS], exposure: &[f32; BUCKETS]) -> f32 {
-        let near = bucket.saturating_sub(NEAR)..bucket;
-        let (came, exposed) = near.fold((0.0, 0.0), |(a, x), b| (a + answers[b], x + exposure[b]));
-        let counts = (exposed / NEAR as f32).min(self.prior_counts * NEAR_COUNTS);
-        let above = self.prior.rates[bucket] * self.prior_counts + counts * came / exposed.max(1e-6);
-        above / (self.prior_counts + counts)
+    /// The rate assumed for a bucket before there is evidence: a mean of the prior's and that of the two octaves before the
+    /// bucket. Where many couriers have long been silent for a common reason, they will not answer in the next moment either.
+    fn assumed_rate(&self, bucket: usize, answers: &[f32; BUCKETS], exposure: &[f32; BUCKETS]) -> f32 {
+        let near = bucket.saturating_sub(EXTRAPOLATION_BUCKETS)..bucket;
+        let (answered, exposed) = near.fold((0.0, 0.0), |(a, x), b| (a + answers[b], x + exposure[b]));
+        let weight =
+            (exposed / EXTRAPOLATION_BUCKETS as f32).min(self.prior_weight * MAX_EXTRAPOLATION_WEIGHT);
+        let weighted = self.prior.rates[bucket] * self.prior_weight + weight * answered / exposed.max(1e-6);
+        weighted / (self.prior_weight + weight)
     }
 
-    /// The figures of one courier; `pool` are those of the kind.
-    pub fn curve(&self, now: Micros, kind: Kind, courier: Courier, pool: &Curve) -> Curve {
-        let shift = self.heard[kind as usize].shift(courier);
-        let sketch = self.own.get(&(kind, courier));
-        let fade = sketch.map_or(0.0, |s| self.faded(s.at, now));
-        Curve::new(std::array::from_fn(|b| {
+    /// The expected latency of one courier; `pooled` is that of the kind.
+    pub fn courier_curve(
+        &self, now: Micros, kind: Kind, courier: CourierId, pooled: &LatencyCurve,
+    ) -> LatencyCurve {
+        let shift = self.received[kind as usize].shift(courier);
+        let evidence = self.own.get(&(kind, courier));
+        let decay = evidence.map_or(0.0, |evidence| self.decay_factor(evidence.decayed_at, now));
+        LatencyCurve::new(std::array::from_fn(|b| {
             let base = match shift {
-                None => pool.rates[b],
-                Some(None) => pool.rates[b] / 8.0,
-                Some(Some(by)) => usize::try_from(b as i32 - i32::from(by)).map_or(0.0, |b| pool.rate(b)),
+                None => pooled.rates[b],
+                Some(None) => pooled.rates[b] / 8.0,
+                Some(Some(by)) => usize::try_from(b as i32 - i32::from(by)).map_or(0.0, |b| pooled.rate(b)),
             };
-            let (answers, exposure) = sketch.map_or((0.0, 0.0), |s| (s.answers[b], s.exposure[b]));
-            let counts = weighed(base, POOL_COUNTS);
-            ((answers * fade + base * counts) / (exposure * fade + counts)).min(RATE_MOST)
+            let (answers, exposure) = evidence.map_or((0.0, 0.0), |e| (e.answers[b], e.exposure[b]));
+            let base_exposure = exposure_for(base, POOL_WEIGHT);
+            ((answers * decay + base * base_exposure) / (exposure * decay + base_exposure)).min(MAX_RATE)
         }))
     }
 }
 
-/// The exposure for which a rate counts where it is to count as so many answers. Danger: a high rate for as much exposure
-/// would be many answers, against which a courier's own silences say little.
-fn weighed(rate: f32, counts: f32) -> f32 {
-    counts / rate.max(1.0)
+/// The exposure with which a rate has the weight of this number of answers. A high rate with the same exposure as a low one
+/// would stand for many answers, and a courier's own silences would hardly outweigh it.
+fn exposure_for(rate: f32, answers: f32) -> f32 {
+    answers / rate.max(1.0)
 }
 
-/// The normal distribution (Abramowitz and Stegun, 26.2.17; off by 1e-7 at the most).
+/// The cumulative normal distribution (Abramowitz and Stegun, 26.2.17; the error is at most 1e-7).
 fn normal(x: f64) -> f64 {
     let t = 1.0 / (1.0 + 0.231_641_9 * x.abs());
     let series = [0.319_381_530, -0.356_563_782, 1.781_477_937, -1.821_255_978, 1.330_274_429];
--- a/src/ask/mod.rs
+++ b/src/ask/mod.rs
@@ -1,57 +1,61 @@
-//! Questions to the whole fleet: who is asked, how long which part is waited for, and what the answer lacks. The wait is
-//! learnt from answers and silences and chosen anew with each answer. No I/O, no clock, no chance: times are handed in, and
-//! of an answer's contents only its figure. `docs/design/ask.md` weighs the options.
+//! Questions to the whole fleet: which couriers are asked, how long each part of the answer is waited for, and what is
+//! missing from the answer. The wait follows from latencies learnt from earlier answers and silences, and is computed anew
+//! with each answer. The module does no I/O, reads no clock and uses no randomness: callers pass times in, and of an answer's
+//! contents only its figure. `docs/design/ask.md` compares the alternatives.
 //!
 //! ```
-//! use indigohold::ask::{AskConfig, Courier, Desk, Kind, Part, Piece, Stand, Taken, Verdict};
+//! use indigohold::ask::{AskConfig, Coordinator, CourierId, Decision, Kind, Part, Piece, PieceOutcome, Presence};
 //! use indigohold::Micros;
 //!
-//! let mut desk = Desk::new(AskConfig::default(), Courier(1), 7);
-//! let part = |n, stand| Part { courier: Courier(n), life: 1, weight: None, stand };
-//! let fleet = [part(2, Stand::There), part(3, Stand::Away)];
-//! let id = desk.ask(Micros(0), Kind::Held, 0, &fleet).unwrap();
-//! let piece = Piece { courier: Courier(2), life: 1, number: 0, last: true, figure: 12, settles: false };
-//! assert_eq!(desk.piece(Micros(3_000), id, &piece), Taken::New);
-//! let Some(Verdict::Ended(answer)) = desk.decide(Micros(3_000), id) else { panic!("there is nobody to wait for") };
+//! let mut coordinator = Coordinator::new(AskConfig::default(), CourierId(1), 7);
+//! let part = |n, presence| Part { courier: CourierId(n), incarnation: 1, weight: None, presence };
+//! let fleet = [part(2, Presence::Present), part(3, Presence::Away)];
+//! let id = coordinator.ask(Micros(0), Kind::Held, 0, &fleet).unwrap();
+//! let piece =
+//!     Piece { courier: CourierId(2), incarnation: 1, number: 0, last: true, figure: 12, settles: false };
+//! assert_eq!(coordinator.record_piece(Micros(3_000), id, &piece), PieceOutcome::New);
+//! let Some(Decision::Ended(answer)) = coordinator.decide(Micros(3_000), id) else {
+//!     panic!("there is no part to wait for")
+//! };
 //! assert_eq!((answer.complete, answer.figure, answer.share), (false, 12, 0.5), "one is known to be away");
 //! ```
 
 mod config;
-mod decide;
-mod desk;
+mod coordinator;
 mod entry;
+pub mod gossip;
 mod latency;
 mod question;
-pub mod rider;
+mod wait;
 
-pub use config::{parse, read, AskConfig, Memory, Most, Peer, Prior, Worth};
-pub use decide::{next_look, wait, Awaited};
-pub use desk::{Counts, Desk, Refused, Verdict};
-pub use entry::{EntryFault, ENTRY_BYTES};
-pub use latency::{bucket_end, bucket_of, Curve, Latency, BUCKETS};
-pub use question::{Answer, Known, Missing, Part, Piece, Stand, Taken, Why};
+pub use config::{parse, read, AnswerValue, AskConfig, FleetMember, LatencyMemory, Limits, Prior};
+pub use coordinator::{AskError, Coordinator, Counts, Decision};
+pub use entry::{EntryError, ENTRY_BYTES};
+pub use latency::{bucket_end, bucket_of, LatencyCurve, LatencyModel, BUCKETS};
+pub use question::{Answer, MissingPart, MissingReason, Part, Piece, PieceOutcome, Presence, PreviousFigure};
+pub use wait::{next_evaluation, worth_waiting, PendingPart};
 
-/// One courier of the fleet, by the number that its settings give it.
+/// The number of a courier: its index in the settings' list of couriers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Courier(pub u16);
+pub struct CourierId(pub u16);
 
-/// What is asked. Kinds differ in how long their answers take.
+/// What is asked. Latencies are learnt by kind, since kinds differ in how long their answers take.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Kind {
     /// The history of a channel.
     History,
-    /// Where a message is.
+    /// Which courier has a message, and in which state it is.
     Where,
-    /// What is held and owed.
+    /// How many messages are held and pending.
     Held,
-    /// Figures.
+    /// Metrics of a courier.
     Figures,
-    /// Which retention is honoured.
+    /// The retention that each courier applies.
     Retention,
 }
 
 impl Kind {
-    /// All, in the order of their numbers on the wire, with their words in the settings.
+    /// All kinds in the order of their numbers on the wire, each with its name in the settings.
     pub const ALL: [(&'static str, Kind); 5] = [
         ("history", Kind::History),
         ("where", Kind::Where),
@@ -61,13 +65,13 @@
     ];
 }
 
-/// A question, unlike every other one of any life of any asker.
+/// Identifies a question among all questions of all askers and of all their process runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QuestionId {
-    /// Who asks.
-    pub asker: Courier,
-    /// The asker's life (incarnation); a later life has a higher one, two at once differ.
-    pub life: u64,
-    /// Counts up within a life.
+    /// The courier that asks.
+    pub asker: CourierId,
+    /// The incarnation of the asker's process run. A later run has a higher one; two runs at the same time differ.
+    pub incarnation: u64,
+    /// Counts up within a process run.
     pub number: u64,
 }
--- a/src/ask/question.rs
+++ b/src/ask/question.rs
@@ -1,190 +1,193 @@
-//! One question: who was asked, what came of it and what is missing. No contents are kept: of each piece is said whether to
-//! keep it.
+//! One question: which couriers were asked, which parts have arrived and which are missing. Contents are not stored: for each
+//! piece the caller is told whether to store it.
 
-use super::latency::Curve;
-use super::{Courier, Kind, QuestionId};
+use super::latency::LatencyCurve;
+use super::{CourierId, Kind, QuestionId};
 use crate::api::Micros;
 
-/// Pieces that an answer may have.
-const PIECES: u8 = 64;
-/// So often one is asked the same: again after each restart.
-const ASKS: u8 = 3;
+/// Maximum number of pieces in one courier's part. Received pieces are bits of a `u64`.
+const MAX_PIECES: u8 = 64;
+/// How often one courier is asked the same question: it is asked again after each restart.
+const MAX_ASKS: u8 = 3;
 
-/// How a courier stands, as the asker knows.
+/// Whether a courier is present, as far as the asker knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Stand {
+pub enum Presence {
     /// In the fleet, as far as is known.
-    There,
+    Present,
     /// Known to be away: neither asked nor waited for.
     Away,
-    /// Nothing is known but its name: asked, and waited for as long as the fleet's figures make it worth.
+    /// Only its name is known: it is asked, and waited for as long as the latencies of the whole fleet make it worthwhile.
     Unknown,
 }
 
-/// A courier whose part is wanted.
+/// A courier whose part of the answer is wanted.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Part {
-    /// Who.
-    pub courier: Courier,
-    /// Its life, as far as is known.
-    pub life: u64,
-    /// How much it is said to hold, in any unit; `None`: not known, it weighs as the mean of the others.
+    /// The courier.
+    pub courier: CourierId,
+    /// The incarnation of its process run, as far as is known.
+    pub incarnation: u64,
+    /// How much it reports to hold, in any unit. `None`: not known, it has the mean weight of the others.
     pub weight: Option<f64>,
-    /// How it stands.
-    pub stand: Stand,
+    /// Whether it is present.
+    pub presence: Presence,
 }
 
 /// A piece of a courier's answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Piece {
-    /// Who answers.
-    pub courier: Courier,
-    /// In which life.
-    pub life: u64,
+    /// The courier that answers.
+    pub courier: CourierId,
+    /// The incarnation of the process run that answers.
+    pub incarnation: u64,
     /// From 0, below 64.
     pub number: u8,
-    /// None follows it.
+    /// No piece follows this one.
     pub last: bool,
-    /// What it counts; the part's figure is the sum.
+    /// The number that this piece contributes; a part's figure is the sum over its pieces.
     pub figure: u64,
-    /// The question needs no other answer: what was looked for is found.
+    /// The question needs no other answer, because what it asks for has been found.
     pub settles: bool,
 }
 
-/// What became of a piece.
+/// How a received piece was classified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// To be kept.
+pub enum PieceOutcome {
+    /// The caller stores it.
     New,
-    /// To be kept; what came from this courier before is void, as it restarted.
-    NewOnly,
-    /// Known already.
-    Twice,
-    /// Its question has ended: learnt from, not in the answer.
+    /// The caller stores it and discards all earlier pieces of this courier, which has restarted.
+    NewAfterRestart,
+    /// It had been received before.
+    Duplicate,
+    /// Its question has ended: it counts as evidence of latency, but is not part of the answer.
     Late,
-    /// From a life of the answering courier that is over.
-    OldLife,
-    /// To a question of another asker, of another life of this one, or long ended.
-    Foreign,
-    /// From one that was not asked, or of a number that can't be.
-    Bad,
+    /// From a previous process run of the answering courier.
+    OldIncarnation,
+    /// For a question of another asker, of another process run of this one, or one that ended too long ago.
+    UnknownQuestion,
+    /// From a courier that was not asked, or with an impossible number.
+    Invalid,
 }
 
 /// Why a part is missing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
-    /// It was or became known to be away.
+pub enum MissingReason {
+    /// The courier was known to be away, or became known to be away.
     Away,
     /// It was not waited for any longer.
     Late,
-    /// It does not answer this.
+    /// It does not answer this question.
     Refused,
-    /// Nothing was known of it but its name, and it said nothing.
+    /// Only its name was known, and it did not answer.
     Unknown,
-    /// It restarted again and again while it was asked.
+    /// It restarted repeatedly while it was asked.
     Restarted,
 }
 
-/// What was known of a part before.
+/// The figure of a part in an earlier answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Known {
-    /// The figure of its last complete answer to the same question.
+pub struct PreviousFigure {
+    /// The figure of the courier's last complete answer to the same question.
     pub figure: u64,
-    /// How long ago that came.
+    /// The time since that answer arrived.
     pub age: Micros,
 }
 
 /// A part that is missing.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Missing {
-    /// Whose.
-    pub courier: Courier,
-    /// Why.
-    pub why: Why,
-    /// Its share of the whole, 0 to 1.
+pub struct MissingPart {
+    /// The courier that did not answer completely.
+    pub courier: CourierId,
+    /// Why it is missing.
+    pub reason: MissingReason,
+    /// Its share of the complete answer, 0 to 1.
     pub share: f64,
-    /// Some pieces came; they are in the figure, but not in the share.
-    pub some: bool,
-    /// What was known of it before.
-    pub before: Option<Known>,
+    /// Some pieces arrived; the answer's figure includes them, its share does not.
+    pub partial: bool,
+    /// Its figure in an earlier answer.
+    pub previous: Option<PreviousFigure>,
 }
 
-/// The end of a question.
+/// The result of a question.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Answer {
-    /// Which.
+    /// The question.
     pub id: QuestionId,
-    /// All parts have come, or what was looked for is found.
+    /// All parts have arrived, or what was asked for has been found.
     pub complete: bool,
-    /// What all parts that came count.
+    /// The sum of the figures of all pieces that arrived.
     pub figure: u64,
-    /// The share of the whole that came, by weight, 0 to 1.
+    /// The share of the complete answer that arrived, by weight, 0 to 1.
     pub share: f64,
     /// Couriers whose parts are complete.
-    pub came: Vec<Courier>,
-    /// The others.
-    pub missing: Vec<Missing>,
-    /// The asker and those that are there are more than half of the fleet. If not, what is missing may be the larger part.
+    pub completed: Vec<CourierId>,
+    /// The other couriers that the question concerned.
+    pub missing: Vec<MissingPart>,
+    /// The asker and the couriers that are present are more than half of the fleet. Otherwise most of the answer may be
+    /// missing.
     pub majority: bool,
-    /// How long it took.
-    pub took: Micros,
+    /// The time from the question to its end.
+    pub elapsed: Micros,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum State {
     Open,
     Complete,
-    Missing(Why),
+    Missing(MissingReason),
 }
 
 pub(super) struct PartState {
-    pub courier: Courier,
-    pub life: u64,
+    pub courier: CourierId,
+    pub incarnation: u64,
     pub share: f64,
     pub unknown: bool,
     pub state: State,
     pub asked: Micros,
-    /// Since it was asked; until then the silence is told.
-    pub told: Micros,
+    /// Measured from `asked`: the silence up to here has been recorded in the latency model.
+    pub recorded_until: Micros,
     asks: u8,
-    got: u64,
+    /// The pieces that arrived, one bit each.
+    received: u64,
     last: Option<u8>,
     pub figure: u64,
 }
 
 impl PartState {
-    /// Pieces came before the restart, if any, are void; whether it may be asked again.
-    pub fn restart(&mut self, now: Micros, life: u64) -> bool {
-        (self.life, self.got, self.last, self.figure) = (life, 0, None, 0);
-        if self.asks >= ASKS {
-            self.state = State::Missing(Why::Restarted);
+    /// Discards the pieces of the previous process run. Returns whether the courier may be asked again.
+    pub fn restart(&mut self, now: Micros, incarnation: u64) -> bool {
+        (self.incarnation, self.received, self.last, self.figure) = (incarnation, 0, None, 0);
+        if self.asks >= MAX_ASKS {
+            self.state = State::Missing(MissingReason::Restarted);
             return false;
         }
-        (self.asks, self.asked, self.told) = (self.asks + 1, now, Micros(0));
+        (self.asks, self.asked, self.recorded_until) = (self.asks + 1, now, Micros(0));
         true
     }
 
-    /// Takes a piece of the right life; whether the part is complete now.
-    pub fn take(&mut self, piece: &Piece) -> Result<bool, Taken> {
+    /// Records a piece of the current incarnation. Returns whether the part is now complete.
+    pub fn record(&mut self, piece: &Piece) -> Result<bool, PieceOutcome> {
         let n = piece.number;
-        // Danger: a number beyond the bound would shift out of the map; one after the last contradicts it.
-        if n >= PIECES || self.last.is_some_and(|last| n > last || (piece.last && n != last)) {
-            return Err(Taken::Bad);
+        // A number above the bound would overflow the shift in the bitmap; one after the last piece contradicts it.
+        if n >= MAX_PIECES || self.last.is_some_and(|last| n > last || (piece.last && n != last)) {
+            return Err(PieceOutcome::Invalid);
         }
-        if self.got >> n & 1 == 1 {
-            return Err(Taken::Twice);
+        if self.received >> n & 1 == 1 {
+            return Err(PieceOutcome::Duplicate);
         }
-        if piece.last && self.got >> n > 0 {
-            return Err(Taken::Bad);
+        if piece.last && self.received >> n > 0 {
+            return Err(PieceOutcome::Invalid);
         }
-        self.got |= 1 << n;
+        self.received |= 1 << n;
         self.figure = self.figure.saturating_add(piece.figure);
         self.last = self.last.or(piece.last.then_some(n));
-        Ok(self.last.is_some_and(|last| self.got.count_ones() == u32::from(last) + 1))
+        Ok(self.last.is_some_and(|last| self.received.count_ones() == u32::from(last) + 1))
     }
 
-    pub fn some(&self) -> bool {
-        self.got > 0
+    /// Whether any piece has arrived.
+    pub fn has_pieces(&self) -> bool {
+        self.received > 0
     }
 }
 
@@ -198,42 +201,46 @@
     pub settled: bool,
     pub majority: bool,
     pub ended: Option<Micros>,
-    /// Latencies of the parts, as known at the last look; none once it has ended.
-    pub curves: Vec<Curve>,
-    /// When to look again.
-    pub look: Micros,
+    /// Expected latencies of the parts as of the last evaluation; empty once the question has ended.
+    pub curves: Vec<LatencyCurve>,
+    /// When to evaluate the latencies again.
+    pub next_evaluation: Micros,
 }
 
 impl Question {
     pub fn new(id: QuestionId, kind: Kind, subject: u64, now: Micros, fleet: &[Part]) -> Question {
-        let sane = |w: f64| w.is_finite() && w >= 0.0;
-        let known: Vec<f64> = fleet.iter().filter_map(|p| p.weight).filter(|w| sane(*w)).collect();
+        let valid = |weight: f64| weight.is_finite() && weight >= 0.0;
+        let known: Vec<f64> = fleet.iter().filter_map(|p| p.weight).filter(|w| valid(*w)).collect();
         let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
         let mean = if mean > 0.0 { mean } else { 1.0 };
-        // Where all that are known are said to hold nothing, each counts alike.
-        let all_none = known.iter().all(|w| *w == 0.0);
-        let weight = |p: &Part| p.weight.filter(|w| sane(*w) && !all_none).unwrap_or(mean);
+        // If every known weight is 0, all couriers have the same weight.
+        let all_zero = known.iter().all(|w| *w == 0.0);
+        let weight = |p: &Part| p.weight.filter(|w| valid(*w) && !all_zero).unwrap_or(mean);
         let sum: f64 = fleet.iter().map(weight).sum();
         let mut parts: Vec<PartState> = fleet
             .iter()
             .map(|part| PartState {
                 courier: part.courier,
-                life: part.life,
+                incarnation: part.incarnation,
                 share: weight(part) / sum,
-                unknown: part.stand == Stand::Unknown,
-                state: if part.stand == Stand::Away { State::Missing(Why::Away) } else { State::Open },
+                unknown: part.presence == Presence::Unknown,
+                state: if part.presence == Presence::Away {
+                    State::Missing(MissingReason::Away)
+                } else {
+                    State::Open
+                },
                 asked: now,
-                told: Micros(0),
+                recorded_until: Micros(0),
                 asks: 1,
-                got: 0,
+                received: 0,
                 last: None,
                 figure: 0,
             })
             .collect();
         parts.sort_by_key(|p| p.courier);
         parts.dedup_by_key(|p| p.courier);
-        let there = fleet.iter().filter(|p| p.stand == Stand::There).count() + 1;
-        let majority = 2 * there > fleet.len() + 1;
+        let present = fleet.iter().filter(|p| p.presence == Presence::Present).count() + 1;
+        let majority = 2 * present > fleet.len() + 1;
         Question {
             id,
             kind,
@@ -244,41 +251,41 @@
             majority,
             ended: None,
             curves: Vec::new(),
-            look: now,
+            next_evaluation: now,
         }
     }
 
-    pub fn part(&mut self, courier: Courier) -> Option<&mut PartState> {
+    pub fn part(&mut self, courier: CourierId) -> Option<&mut PartState> {
         let at = self.parts.binary_search_by_key(&courier, |p| p.courier).ok()?;
         self.parts.get_mut(at)
     }
 
-    /// The answer, as it stands.
-    pub fn answer(&self, now: Micros, before: impl Fn(Courier) -> Option<Known>) -> Answer {
-        let came = self.parts.iter().filter(|p| p.state == State::Complete);
-        let missing: Vec<Missing> = self
+    /// The answer from the parts that have arrived by now.
+    pub fn answer(&self, now: Micros, previous: impl Fn(CourierId) -> Option<PreviousFigure>) -> Answer {
+        let completed = self.parts.iter().filter(|p| p.state == State::Complete);
+        let missing: Vec<MissingPart> = self
             .parts
             .iter()
             .filter_map(|p| {
-                let why = match p.state {
+                let reason = match p.state {
                     State::Complete => return None,
-                    State::Open if p.unknown => Why::Unknown,
-                    State::Open => Why::Late,
-                    State::Missing(why) => why,
+                    State::Open if p.unknown => MissingReason::Unknown,
+                    State::Open => MissingReason::Late,
+                    State::Missing(reason) => reason,
                 };
-                let (courier, share, some) = (p.courier, p.share, p.some());
-                Some(Missing { courier, why, share, some, before: before(courier) })
+                let (courier, share, partial) = (p.courier, p.share, p.has_pieces());
+                Some(MissingPart { courier, reason, share, partial, previous: previous(courier) })
             })
             .collect();
         Answer {
             id: self.id,
             complete: self.settled || missing.is_empty(),
             figure: self.parts.iter().fold(0, |sum, p| sum.saturating_add(p.figure)),
-            share: came.clone().map(|p| p.share).sum(),
-            came: came.map(|p| p.courier).collect(),
+            share: completed.clone().map(|p| p.share).sum(),
+            completed: completed.map(|p| p.courier).collect(),
             missing,
             majority: self.majority,
-            took: now - self.asked,
+            elapsed: now - self.asked,
         }
     }
 }
--- a/src/daemon.rs
+++ b/src/daemon.rs
@@ -208,7 +208,7 @@
             limits.descriptors -= server::max_connections(limits.descriptors);
         }
         if let Some(asks) = asks.as_ref().filter(|_| gossip_allowed) {
-            limits.descriptors -= asks.most.connections.min(config.limits.descriptors / ASK_DIVISOR);
+            limits.descriptors -= asks.limits.connections.min(config.limits.descriptors / ASK_DIVISOR);
         }
         let (platform, front) = platform::start(
             &courier,
@@ -248,7 +248,7 @@
     let conns: Vec<_> = fronts.iter().map(|f| f.conns.clone()).collect();
     let shared = courier.clone();
     let owner = Arc::new(Mutex::new(Some(owner)));
-    let ask_gossip = ask::rider::Shared::default();
+    let ask_gossip = ask::gossip::SharedState::default();
     let payload_of =
         |at: &PeerAddresses| riders::rides(asks.as_ref(), &config.name, at.me).then(|| ask_gossip.clone());
     let peers = match peers_at.filter(|_| gossip_allowed) {
@@ -274,7 +274,7 @@
                 courier: courier.clone(),
                 words: words.clone(),
                 serving: serving.clone(),
-                config: asks.within(descriptors)?,
+                config: asks.with_max_connections(descriptors)?,
                 name: config.name,
                 life: incarnation,
                 may_ask: gossip_allowed,
--- a/src/daemon/steps.rs
+++ b/src/daemon/steps.rs
@@ -39,7 +39,7 @@
 /// not say which member this courier is.
 pub(super) fn sharing_setup(
     courier: &Arc<Courier>, at: &PeerAddresses, config: Option<Sharing>, incarnation: u64,
-    owner: &SharedOwner, seed: u64, ask_gossip: Option<ask::rider::Shared>,
+    owner: &SharedOwner, seed: u64, ask_gossip: Option<ask::gossip::SharedState>,
 ) -> Option<Shared> {
     let Sharing { ground: config, matters } = config?;
     let Some(me) = at.me else {
--- a/src/net/ask/kinds/retention.rs
+++ b/src/net/ask/kinds/retention.rs
@@ -135,7 +135,7 @@
 
     fn finish(&self, here: &Here, shape: &mut AnswerShape) {
         let unheard = |keeper: &Keeper| {
-            let place = |name: &str| here.fleet.place(name).map(|at| at as u64);
+            let place = |name: &str| here.fleet.index_of(name).map(|at| at as u64);
             // Danger: numbers that differ would tell of another courier.
             let same = place(&shape.asked) == Some(keeper.me);
             let of = |name: &str| keeper.others.get(&place(name)?).filter(|_| same).cloned();
--- a/src/net/ask/mod.rs
+++ b/src/net/ask/mod.rs
@@ -9,8 +9,8 @@
 mod whole;
 
 use crate::api::Micros;
-use crate::ask::rider::Shared;
-use crate::ask::{AskConfig, Courier as Number, Desk, Kind};
+use crate::ask::gossip::SharedState;
+use crate::ask::{AskConfig, Coordinator, CourierId as Number, Kind};
 use crate::core::Courier;
 use crate::net::peers::published::Published;
 use crate::net::spawn;
@@ -103,7 +103,7 @@
     /// The settings let couriers speak to each other.
     pub may_ask: bool,
     /// What lies between this and the control thread.
-    pub shared: Shared,
+    pub shared: SharedState,
     /// What the fleet believes; `None`: nothing is shared.
     pub believed: Option<Arc<Published>>,
 }
@@ -112,7 +112,7 @@
     /// Starts its threads: one that makes parts, and one that asks. The error is a line.
     pub fn start(setup: Setup) -> Result<Asker, String> {
         let Setup { courier, words, serving, config, name, life, may_ask, shared, believed } = setup;
-        let me = config.place(&name);
+        let me = config.index_of(&name);
         let me = me.ok_or_else(|| format!("couriers: none goes by this one's name, {name:?}"))?;
         let fail = |e: io::Error| e.to_string();
         let clock = courier.clock;
@@ -142,9 +142,9 @@
             let poll = Poll::new().map_err(fail)?;
             let waker = Arc::new(Waker::new(poll.registry(), WAKES).map_err(fail)?);
             // Room for questions, and beside it for what this courier itself says to those that are under way.
-            let (to, inbox) = bounded(4 * config.most.questions + JOBS);
+            let (to, inbox) = bounded(4 * config.limits.questions + JOBS);
             asker.fleet = Some((to, waker));
-            let desk = Desk::new((*config).clone(), Number(me as u16), life);
+            let desk = Coordinator::new((*config).clone(), Number(me as u16), life);
             let run = Run::new(poll, inbox, desk, clock, me, asker.clone(), shared);
             spawn("ask", move || run.go()).map_err(fail)?;
         }
@@ -153,7 +153,7 @@
 
     /// No question of this kind waits longer.
     pub fn hard(&self, kind: Kind) -> Micros {
-        self.config.worth(kind).hard
+        self.config.answer_value(kind).max_wait
     }
 
     /// What this courier alone has to say: the lines of its pieces, or a refusal.
@@ -211,7 +211,7 @@
             return tell(crate::admin::refusal(what));
         };
         // Danger: a crowd of questions would take the room of the own parts of those that are under way.
-        if to.len() >= 2 * self.config.most.questions {
+        if to.len() >= 2 * self.config.limits.questions {
             return Msg::Ask { kind, subject, tell }.busy();
         }
         match to.try_send(Msg::Ask { kind, subject, tell }) {
--- a/src/net/ask/run.rs
+++ b/src/net/ask/run.rs
@@ -1,12 +1,12 @@
-//! The asking thread: all questions and all their connections on one poller. What it decides, it asks of [`Desk`].
+//! The asking thread: all questions and all their connections on one poller. What it decides, it asks of [`Coordinator`].
 
 use super::asked::{Asked, Msg};
 use super::kinds::ELSEWHERE;
 use super::link::{Link, Said};
 use super::shape::{self, plain, Piece, PieceShape, ANSWER_BYTES, PIECES};
-use super::{Asker, Shared, Tell, WAKES};
+use super::{Asker, SharedState, Tell, WAKES};
 use crate::api::Micros;
-use crate::ask::{self, Courier, Desk, Kind, Part, Refused, Stand, Taken, Verdict};
+use crate::ask::{self, AskError, Coordinator, CourierId, Decision, Kind, Part, PieceOutcome, Presence};
 use crate::core::Clock;
 use crossbeam_channel::Receiver;
 use mio::net::TcpStream;
@@ -21,11 +21,11 @@
 pub(super) struct Run {
     poll: Poll,
     inbox: Receiver<Msg>,
-    desk: Desk,
+    desk: Coordinator,
     clock: Clock,
     me: usize,
     asker: Asker,
-    shared: Shared,
+    shared: SharedState,
     asked: BTreeMap<u64, Asked>,
     /// In the order in which they were opened.
     links: BTreeMap<usize, Link>,
@@ -42,7 +42,8 @@
 
 impl Run {
     pub fn new(
-        poll: Poll, inbox: Receiver<Msg>, desk: Desk, clock: Clock, me: usize, asker: Asker, shared: Shared,
+        poll: Poll, inbox: Receiver<Msg>, desk: Coordinator, clock: Clock, me: usize, asker: Asker,
+        shared: SharedState,
     ) -> Run {
         let (asked, links, answered) = (BTreeMap::new(), BTreeMap::new(), BTreeSet::new());
         Run { poll, inbox, desk, clock, me, asker, shared, asked, links, next_token: 1, answered }
@@ -82,7 +83,7 @@
     }
 
     fn next_at(&self) -> Option<Micros> {
-        let linger = self.asker.config.memory.linger;
+        let linger = self.asker.config.latency_memory.linger;
         self.asked.values().map(|q| q.ended.map_or(q.look, |ended| ended + linger)).min()
     }
 
@@ -91,20 +92,20 @@
         let config = self.asker.config.clone();
         self.shared.exchange(now, self.desk.latency());
         let part = |place: usize| {
-            let courier = Courier(place as u16);
-            let known = if self.answered.contains(&place) { Stand::There } else { Stand::Unknown };
-            let stand = self.shared.stand(now, courier).unwrap_or(known);
+            let courier = CourierId(place as u16);
+            let known = if self.answered.contains(&place) { Presence::Present } else { Presence::Unknown };
+            let presence = self.shared.presence(now, courier).unwrap_or(known);
             let holds = matches!(kind, Kind::Where | Kind::Held | Kind::Figures);
             let weight = holds.then(|| self.shared.weight(courier)).flatten();
             // Its life is told by its answer: one whose folder was lost counts from the beginning.
-            Part { courier, life: 0, weight, stand }
+            Part { courier, incarnation: 0, weight, presence }
         };
         let fleet: Vec<Part> =
             (0..config.couriers.len()).filter(|place| *place != self.me).map(part).collect();
         let open: Vec<usize> =
-            fleet.iter().filter(|p| p.stand != Stand::Away).map(|p| usize::from(p.courier.0)).collect();
+            fleet.iter().filter(|p| p.presence != Presence::Away).map(|p| usize::from(p.courier.0)).collect();
         // Danger: late answers must not keep a new question from being asked.
-        while self.links.len() + open.len() > config.most.connections {
+        while self.links.len() + open.len() > config.limits.connections {
             let asked = &self.asked;
             let late = |link: &Link| asked.get(&link.question).is_none_or(|q| q.ended.is_some());
             let Some(token) = self.links.iter().find(|(_, link)| late(link)).map(|(token, _)| *token) else {
@@ -115,11 +116,11 @@
         }
         let id = match self.desk.ask(now, kind, number(&subject), &fleet) {
             Ok(id) => id,
-            Err(Refused::Full) => {
+            Err(AskError::TooManyQuestions) => {
                 tell(crate::admin::refusal("busy: too many questions at once"));
                 return None;
             }
-            Err(Refused::Parts) => {
+            Err(AskError::FleetSize) => {
                 tell(crate::admin::refusal("there is no other courier in the file"));
                 return None;
             }
@@ -129,7 +130,7 @@
             kind,
             subject: subject.clone(),
             since: now,
-            hard: now + config.worth(kind).hard,
+            hard: now + config.answer_value(kind).max_wait,
             tell: Some(tell),
             parts: BTreeMap::new(),
             details: BTreeMap::new(),
@@ -163,7 +164,7 @@
             "" => format!("part {}\n", shape::word(asked.kind)),
             subject => format!("part {} {subject}\n", shape::word(asked.kind)),
         };
-        let doors = &self.asker.config.couriers[place].doors;
+        let doors = &self.asker.config.couriers[place].admin_addresses;
         let opened = TcpStream::connect(doors[door % doors.len()]).and_then(|mut stream| {
             let both = Interest::READABLE | Interest::WRITABLE;
             self.poll.registry().register(&mut stream, Token(self.next_token), both)?;
@@ -181,7 +182,7 @@
     /// Nobody is there to wait for.
     fn gone(&mut self, question: u64, place: usize, what: &str) {
         let Some(asked) = self.asked.get_mut(&question) else { return };
-        self.desk.lost(self.clock.now(), asked.id, Courier(place as u16));
+        self.desk.connection_lost(self.clock.now(), asked.id, CourierId(place as u16));
         if asked.ended.is_none() {
             asked.details.insert(place, plain(what, 200));
         }
@@ -189,7 +190,7 @@
 
     fn refused(&mut self, question: u64, place: usize, what: &str) {
         let Some(asked) = self.asked.get_mut(&question) else { return };
-        self.desk.refused(asked.id, Courier(place as u16));
+        self.desk.record_refusal(asked.id, CourierId(place as u16));
         if asked.ended.is_none() {
             asked.heard.insert(place);
             asked.details.insert(place, plain(what, 200));
@@ -254,7 +255,7 @@
     /// Whether one may be dialled again for this question; `elsewhere`: at the same door that would be of no use.
     fn may_again(&self, question: u64, place: usize, tries: u8, elsewhere: bool) -> bool {
         let open = self.asked.get(&question).is_some_and(|q| q.ended.is_none());
-        let other = self.asker.config.couriers[place].doors.len() > 1;
+        let other = self.asker.config.couriers[place].admin_addresses.len() > 1;
         open && tries + 1 < TRIES && (other || !elsewhere)
     }
 
@@ -276,12 +277,15 @@
             return Err("all answers together are too long".into());
         }
         let PieceShape { life, piece: number, last, figure, settles, body, .. } = piece;
-        let courier = Courier(place as u16);
-        let taken =
-            self.desk.piece(now, asked.id, &ask::Piece { courier, life, number, last, figure, settles });
+        let courier = CourierId(place as u16);
+        let taken = self.desk.record_piece(
+            now,
+            asked.id,
+            &ask::Piece { courier, incarnation: life, number, last, figure, settles },
+        );
         match taken {
-            Taken::New | Taken::NewOnly => {
-                if taken == Taken::NewOnly {
+            PieceOutcome::New | PieceOutcome::NewAfterRestart => {
+                if taken == PieceOutcome::NewAfterRestart {
                     asked.parts.remove(&place);
                 }
                 let got = asked.parts.entry(place).or_default();
@@ -292,11 +296,11 @@
                 asked.details.remove(&place);
                 asked.settled |= settles;
             }
-            Taken::Late => {}
-            Taken::Twice => return Err("the answer has a piece twice".into()),
-            Taken::OldLife => return Err("it is of a life that is over".into()),
-            Taken::Foreign => return Ok(true),
-            Taken::Bad => return Err("the answer has a piece that can't be".into()),
+            PieceOutcome::Late => {}
+            PieceOutcome::Duplicate => return Err("the answer has a piece twice".into()),
+            PieceOutcome::OldIncarnation => return Err("it is of a life that is over".into()),
+            PieceOutcome::UnknownQuestion => return Ok(true),
+            PieceOutcome::Invalid => return Err("the answer has a piece that can't be".into()),
         }
         self.answered.insert(place);
         link.pieces += 1;
@@ -320,8 +324,8 @@
         let Some(asked) = self.asked.get_mut(&question).filter(|q| q.ended.is_none()) else { return };
         if asked.answer.is_none() {
             match self.desk.decide(now, asked.id) {
-                Some(Verdict::Wait(at)) => asked.look = at,
-                Some(Verdict::Ended(answer)) => asked.answer = Some(answer),
+                Some(Decision::Wait(at)) => asked.look = at,
+                Some(Decision::Ended(answer)) => asked.answer = Some(answer),
                 None => return,
             }
         }
@@ -332,7 +336,7 @@
             return;
         }
         asked.ended = Some(now);
-        let told = self.shared.stand(now, Courier(self.me as u16)).is_some();
+        let told = self.shared.presence(now, CourierId(self.me as u16)).is_some();
         let (kind, tell) = (asked.kind, asked.tell.take());
         let shape = super::whole::whole(asked, &answer, &self.asker, self.me, now, told);
         asked.parts = BTreeMap::new();
@@ -349,7 +353,8 @@
     /// Lets go of ended questions and of their connections.
     fn tidy(&mut self) {
         let now = self.clock.now();
-        let (linger, most) = (self.asker.config.memory.linger, self.asker.config.most.ended);
+        let (linger, most) =
+            (self.asker.config.latency_memory.linger, self.asker.config.limits.ended_questions);
         let ended: Vec<u64> = self.asked.iter().filter(|(_, q)| q.ended.is_some()).map(|(n, _)| *n).collect();
         // Danger: the desk would take the silence of those that make room for one to the very end.
         for question in ended.iter().take((ended.len() + 1).saturating_sub(most)) {
--- a/src/net/ask/whole.rs
+++ b/src/net/ask/whole.rs
@@ -4,19 +4,19 @@
 use super::shape::{word, AnswerShape, BeforeShape, MissingShape, PartShape};
 use super::Asker;
 use crate::api::Micros;
-use crate::ask::{Answer, Why};
+use crate::ask::{Answer, MissingReason};
 
 fn ms(span: Micros) -> f64 {
     span.0 as f64 / 1_000.0
 }
 
-fn why(why: Why) -> (&'static str, &'static str) {
+fn why(why: MissingReason) -> (&'static str, &'static str) {
     match why {
-        Why::Away => ("away", "known to be away; it was not asked"),
-        Why::Late => ("late", "silent so far; no longer worth the wait"),
-        Why::Refused => ("refused", "it does not answer this"),
-        Why::Unknown => ("unknown", "silent so far, and it never answered this process"),
-        Why::Restarted => ("restarted", "it restarted again and again while it was asked"),
+        MissingReason::Away => ("away", "known to be away; it was not asked"),
+        MissingReason::Late => ("late", "silent so far; no longer worth the wait"),
+        MissingReason::Refused => ("refused", "it does not answer this"),
+        MissingReason::Unknown => ("unknown", "silent so far, and it never answered this process"),
+        MissingReason::Restarted => ("restarted", "it restarted again and again while it was asked"),
     }
 }
 
@@ -45,7 +45,7 @@
             false
         }
     };
-    let came: Vec<usize> = answer.came.iter().map(|c| usize::from(c.0)).collect();
+    let came: Vec<usize> = answer.completed.iter().map(|c| usize::from(c.0)).collect();
     for (place, got) in std::mem::take(&mut asked.parts) {
         parts.push(PartShape {
             courier: name(place),
@@ -57,18 +57,19 @@
     }
     for part in &answer.missing {
         let place = usize::from(part.courier.0);
-        let (word, words) = why(part.why);
+        let (word, words) = why(part.reason);
         missing.push(MissingShape {
             courier: name(place),
             why: word.into(),
             detail: asked.details.remove(&place).unwrap_or_else(|| words.into()),
             share: part.share,
-            some: part.some,
-            before: part.before.map(|b| BeforeShape { figure: b.figure, age_ms: b.age.0 / 1_000 }),
+            some: part.partial,
+            before: part.previous.map(|b| BeforeShape { figure: b.figure, age_ms: b.age.0 / 1_000 }),
         });
     }
     let (fleet, heard) = (asker.config.couriers.len(), asked.heard.len() + 1);
-    let open = answer.missing.iter().any(|part| matches!(part.why, Why::Late | Why::Unknown));
+    let open =
+        answer.missing.iter().any(|part| matches!(part.reason, MissingReason::Late | MissingReason::Unknown));
     let stopped = match () {
         () if asked.settled => "found",
         () if answer.missing.is_empty() => "all_came",
--- a/src/net/peers/riders.rs
+++ b/src/net/peers/riders.rs
@@ -1,7 +1,7 @@
 //! Which matters ride on the ground, in the order in which they are called.
 
 use crate::api::PeerId;
-use crate::ask::{self, rider::AskRider, AskConfig};
+use crate::ask::{self, gossip::AskGossip, AskConfig};
 use crate::core::Courier;
 use crate::history::replay_rider::Replaying;
 use crate::history::rider::Retention;
@@ -29,7 +29,7 @@
 /// differ would credit one courier with what was learnt of another.
 pub fn rides(asks: Option<&AskConfig>, name: &str, me: Option<PeerId>) -> bool {
     let (Some(asks), Some(me)) = (asks, me) else { return false };
-    let place = asks.place(name);
+    let place = asks.index_of(name);
     if place != Some(usize::from(me.0)) {
         let me = me.0;
         tracing::warn!(target: "ask", "learnt times stay here: {name:?} is number {me} of `peers`, and {place:?} of `couriers`");
@@ -41,12 +41,12 @@
 /// All riders of this process, made anew with each life. They are called on the notes' thread; what traffic goes by, each
 /// publishes for itself. `learnt`: where questions are asked, what lies between them and the ground.
 pub fn riders(
-    courier: &Arc<Courier>, place: Place, learnt: Option<ask::rider::Shared>,
+    courier: &Arc<Courier>, place: Place, learnt: Option<ask::gossip::SharedState>,
 ) -> Vec<Box<dyn GossipPayload>> {
     let mut all: Vec<Box<dyn GossipPayload>> = Vec::new();
     if let Some(learnt) = learnt {
         let board = courier.board.clone();
-        all.push(Box::new(AskRider::new(learnt, move || board.read().pending)));
+        all.push(Box::new(AskGossip::new(learnt, move || board.read().pending)));
     }
     if courier.with_history(|_, _| ()).is_some() {
         // Danger: in this order. What an order says of lines is read after who was heard is known.
--- a/tests/ask.rs
+++ b/tests/ask.rs
@@ -1,6 +1,6 @@
 //! Questions to all against fixed deadlines and against one that knows all latencies in advance, in virtual time.
 
-use indigohold::ask::{AskConfig, Courier, Desk, Kind, Part, Piece, Stand, Verdict};
+use indigohold::ask::{AskConfig, Coordinator, CourierId, Decision, Kind, Part, Piece, Presence};
 use indigohold::Micros;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -81,30 +81,37 @@
 }
 
 fn part(courier: usize, away: bool) -> Part {
-    let stand = if away { Stand::Away } else { Stand::There };
-    Part { courier: Courier(courier as u16), life: 1, weight: Some(weight(courier)), stand }
+    let presence = if away { Presence::Away } else { Presence::Present };
+    Part { courier: CourierId(courier as u16), incarnation: 1, weight: Some(weight(courier)), presence }
 }
 
 fn piece(courier: usize) -> Piece {
-    Piece { courier: Courier(courier as u16), life: 1, number: 0, last: true, figure: 1, settles: false }
+    Piece {
+        courier: CourierId(courier as u16),
+        incarnation: 1,
+        number: 0,
+        last: true,
+        figure: 1,
+        settles: false,
+    }
 }
 
 /// Worth of what came by `stop` milliseconds, which is cut short where nobody is left to be waited for.
 fn worth_of(config: &AskConfig, of: &Latencies, stop: Micros) -> f64 {
-    let worth = config.worth(Kind::History);
+    let worth = config.answer_value(Kind::History);
     let waited =
         of.iter().filter(|(_, away)| !away).map(|(latency, _)| latency.map_or(stop, |l| l.min(stop)));
     let time = waited.max().unwrap_or_default();
     let came =
         |(_, (latency, away)): &(usize, &(Option<Micros>, bool))| !away && latency.is_some_and(|l| l <= stop);
     let shares: f64 = of.iter().enumerate().filter(came).map(|(courier, _)| share(courier)).sum();
-    let whole = if shares > 0.999_999 { worth.whole } else { 0.0 };
-    worth.share * shares + whole - worth.ms_costs * time.0 as f64 / 1e3
+    let whole = if shares > 0.999_999 { worth.completeness_bonus } else { 0.0 };
+    worth.share_value * shares + whole - worth.cost_per_ms * time.0 as f64 / 1e3
 }
 
 /// The learnt rule's worth of each question. `late`: whether answers after the end still come through.
 fn learnt(config: &AskConfig, all: &[Latencies], late: bool) -> Vec<f64> {
-    let mut desk = Desk::new(config.clone(), Courier(1_000), 1);
+    let mut desk = Coordinator::new(config.clone(), CourierId(1_000), 1);
     let mut out = Vec::new();
     for (n, of) in all.iter().enumerate() {
         let start = Micros(1 + n as u64 * APART);
@@ -118,21 +125,23 @@
         let mut now = start;
         let answer = loop {
             while let Some((_, courier)) = answers.next_if(|(latency, _)| start + *latency <= now) {
-                desk.piece(now, id, &piece(courier));
+                desk.record_piece(now, id, &piece(courier));
             }
             match desk.decide(now, id).unwrap() {
-                Verdict::Ended(answer) => break answer,
-                Verdict::Wait(again) => {
+                Decision::Ended(answer) => break answer,
+                Decision::Wait(again) => {
                     assert!(again > now, "time goes on");
                     now = answers.peek().map_or(again, |(latency, _)| again.min(start + *latency));
                 }
             }
         };
-        let worth = config.worth(Kind::History);
-        let whole = if answer.complete { worth.whole } else { 0.0 };
-        out.push(worth.share * answer.share + whole - worth.ms_costs * answer.took.0 as f64 / 1e3);
+        let worth = config.answer_value(Kind::History);
+        let whole = if answer.complete { worth.completeness_bonus } else { 0.0 };
+        out.push(
+            worth.share_value * answer.share + whole - worth.cost_per_ms * answer.elapsed.0 as f64 / 1e3,
+        );
         for (latency, courier) in answers.filter(|(latency, _)| late && *latency < Micros(10_000_000)) {
-            desk.piece(start + latency, id, &piece(courier));
+            desk.record_piece(start + latency, id, &piece(courier));
         }
     }
     out
@@ -140,7 +149,7 @@
 
 fn knows_all(config: &AskConfig, of: &Latencies) -> f64 {
     let times = of.iter().filter_map(|(latency, away)| latency.filter(|_| !away));
-    let times = times.filter(|t| *t <= config.worth(Kind::History).hard).chain([Micros(0)]);
+    let times = times.filter(|t| *t <= config.answer_value(Kind::History).max_wait).chain([Micros(0)]);
     times.map(|stop| worth_of(config, of, stop)).fold(0.0, f64::max)
 }
 
@@ -185,15 +194,15 @@
 
 fn settings(share: f64, whole: f64, ms_costs: f64) -> AskConfig {
     let mut config = AskConfig::default();
-    for worth in &mut config.worth {
-        (worth.share, worth.whole, worth.ms_costs) = (share, whole, ms_costs);
+    for worth in &mut config.answer_values {
+        (worth.share_value, worth.completeness_bonus, worth.cost_per_ms) = (share, whole, ms_costs);
     }
     config
 }
 
 fn cut_off() -> AskConfig {
     let mut config = settings(1.0, 0.0, 0.001);
-    config.memory.linger = Micros(0);
+    config.latency_memory.linger = Micros(0);
     config
 }
 
--- a/tests/ask_parts.rs
+++ b/tests/ask_parts.rs
@@ -1,249 +1,307 @@
-//! Questions to all: what is taken, what is missing and why, what is learnt and told. In virtual time.
+//! Questions to the whole fleet, in virtual time: which pieces are accepted, which parts are missing and why, and how latencies are
+//! learnt and shared between couriers.
 
 use hdrhistogram::Histogram;
 use indigohold::ask::*;
 use indigohold::Micros;
 use quickcheck::quickcheck;
 
-const ME: Courier = Courier(0);
+const ME: CourierId = CourierId(0);
 
 fn ms(ms: u64) -> Micros {
     Micros(ms * 1_000)
 }
 
 fn part(courier: u16) -> Part {
-    Part { courier: Courier(courier), life: 1, weight: Some(1.0), stand: Stand::There }
+    Part { courier: CourierId(courier), incarnation: 1, weight: Some(1.0), presence: Presence::Present }
 }
 
-fn piece(courier: u16, life: u64, number: u8, last: bool) -> Piece {
-    Piece { courier: Courier(courier), life, number, last, figure: 10, settles: false }
+fn piece(courier: u16, incarnation: u64, number: u8, last: bool) -> Piece {
+    Piece { courier: CourierId(courier), incarnation, number, last, figure: 10, settles: false }
 }
 
-fn desk() -> Desk {
-    Desk::new(AskConfig::default(), ME, 5)
+fn new_coordinator() -> Coordinator {
+    Coordinator::new(AskConfig::default(), ME, 5)
 }
 
-/// Decides until it ends.
-fn end(desk: &mut Desk, mut now: Micros, id: QuestionId) -> Answer {
+/// Advances the time from decision to decision until the question ends.
+fn wait_for_end(coordinator: &mut Coordinator, mut now: Micros, id: QuestionId) -> Answer {
     loop {
-        match desk.decide(now, id).unwrap() {
-            Verdict::Ended(answer) => return *answer,
-            Verdict::Wait(again) => now = again,
+        match coordinator.decide(now, id).unwrap() {
+            Decision::Ended(answer) => return *answer,
+            Decision::Wait(again) => now = again,
         }
     }
 }
 
-fn whys(answer: &Answer) -> Vec<(u16, Why)> {
-    answer.missing.iter().map(|m| (m.courier.0, m.why)).collect()
+fn reasons(answer: &Answer) -> Vec<(u16, MissingReason)> {
+    answer.missing.iter().map(|m| (m.courier.0, m.reason)).collect()
 }
 
 #[test]
-fn pieces_are_taken_once_in_any_order_and_only_from_whom_they_were_asked() {
-    let mut desk = desk();
-    let id = desk.ask(ms(0), Kind::History, 1, &[part(1), part(2)]).unwrap();
-    let take = |desk: &mut Desk, piece: &Piece| desk.piece(ms(3), id, piece);
-    assert_eq!(take(&mut desk, &piece(1, 1, 2, true)), Taken::New);
-    assert_eq!(take(&mut desk, &piece(1, 1, 0, false)), Taken::New);
-    assert_eq!(take(&mut desk, &piece(1, 1, 0, false)), Taken::Twice);
-    assert_eq!(take(&mut desk, &piece(1, 1, 3, false)), Taken::Bad, "after the last");
-    assert_eq!(take(&mut desk, &piece(1, 1, 64, false)), Taken::Bad);
-    assert_eq!(take(&mut desk, &piece(9, 1, 0, true)), Taken::Bad, "never asked");
-    assert!(matches!(desk.decide(ms(3), id), Some(Verdict::Wait(_))), "a piece is still to come");
-    assert_eq!(take(&mut desk, &piece(1, 1, 1, false)), Taken::New);
-    assert_eq!(take(&mut desk, &piece(1, 1, 1, false)), Taken::Twice, "complete");
-    let former = QuestionId { life: 4, ..id };
-    assert_eq!(desk.piece(ms(3), former, &piece(2, 1, 0, true)), Taken::Foreign, "a former life's question");
-    assert_eq!(take(&mut desk, &piece(2, 1, 0, false)), Taken::New);
-    let answer = end(&mut desk, ms(3), id);
-    assert_eq!((answer.figure, answer.share, whys(&answer)), (40, 0.5, vec![(2, Why::Late)]));
-    assert!(answer.missing[0].some && !answer.complete);
-    assert_eq!(desk.decide(ms(9_000), id), None, "it ends once");
-    assert_eq!(take(&mut desk, &piece(2, 1, 1, true)), Taken::Late);
-    assert_eq!((desk.counts().twice, desk.counts().late, desk.counts().dropped), (2, 1, 4));
+fn pieces_are_accepted_once_in_any_order_and_only_from_couriers_that_were_asked() {
+    let mut coordinator = new_coordinator();
+    let id = coordinator.ask(ms(0), Kind::History, 1, &[part(1), part(2)]).unwrap();
+    let record = |coordinator: &mut Coordinator, piece: &Piece| coordinator.record_piece(ms(3), id, piece);
+    assert_eq!(record(&mut coordinator, &piece(1, 1, 2, true)), PieceOutcome::New);
+    assert_eq!(record(&mut coordinator, &piece(1, 1, 0, false)), PieceOutcome::New);
+    assert_eq!(record(&mut coordinator, &piece(1, 1, 0, false)), PieceOutcome::Duplicate);
+    assert_eq!(
+        record(&mut coordinator, &piece(1, 1, 3, false)),
+        PieceOutcome::Invalid,
+        "after the last piece"
+    );
+    assert_eq!(record(&mut coordinator, &piece(1, 1, 64, false)), PieceOutcome::Invalid);
+    assert_eq!(record(&mut coordinator, &piece(9, 1, 0, true)), PieceOutcome::Invalid, "was not asked");
+    assert!(matches!(coordinator.decide(ms(3), id), Some(Decision::Wait(_))), "a piece is still missing");
+    assert_eq!(record(&mut coordinator, &piece(1, 1, 1, false)), PieceOutcome::New);
+    assert_eq!(
+        record(&mut coordinator, &piece(1, 1, 1, false)),
+        PieceOutcome::Duplicate,
+        "the part is complete"
+    );
+    let previous_run = QuestionId { incarnation: 4, ..id };
+    assert_eq!(
+        coordinator.record_piece(ms(3), previous_run, &piece(2, 1, 0, true)),
+        PieceOutcome::UnknownQuestion,
+        "a question of a previous run"
+    );
+    assert_eq!(record(&mut coordinator, &piece(2, 1, 0, false)), PieceOutcome::New);
+    let answer = wait_for_end(&mut coordinator, ms(3), id);
+    assert_eq!((answer.figure, answer.share, reasons(&answer)), (40, 0.5, vec![(2, MissingReason::Late)]));
+    assert!(answer.missing[0].partial && !answer.complete);
+    assert_eq!(coordinator.decide(ms(9_000), id), None, "a question ends only once");
+    assert_eq!(record(&mut coordinator, &piece(2, 1, 1, true)), PieceOutcome::Late);
+    assert_eq!(
+        (coordinator.counts().duplicates, coordinator.counts().late, coordinator.counts().dropped),
+        (2, 1, 4)
+    );
 }
 
 #[test]
-fn one_that_restarts_is_asked_again_and_its_former_pieces_are_void() {
-    let mut desk = desk();
-    let id = desk.ask(ms(0), Kind::Held, 0, &[part(1), part(2)]).unwrap();
-    desk.piece(ms(1), id, &piece(1, 1, 0, false));
-    assert_eq!(desk.restarted(ms(2), Courier(1), 2), [id]);
-    assert_eq!(desk.restarted(ms(2), Courier(1), 2), [], "once for each life");
-    assert_eq!(desk.piece(ms(2), id, &piece(1, 1, 1, true)), Taken::OldLife);
-    assert_eq!(desk.piece(ms(3), id, &piece(1, 3, 0, true)), Taken::New, "a life that nobody had told of");
-    desk.piece(ms(3), id, &piece(2, 1, 0, false));
-    assert_eq!(desk.piece(ms(4), id, &piece(2, 2, 0, true)), Taken::NewOnly);
-    let answer = end(&mut desk, ms(4), id);
+fn a_courier_that_restarts_is_asked_again_and_its_earlier_pieces_are_discarded() {
+    let mut coordinator = new_coordinator();
+    let id = coordinator.ask(ms(0), Kind::Held, 0, &[part(1), part(2)]).unwrap();
+    coordinator.record_piece(ms(1), id, &piece(1, 1, 0, false));
+    assert_eq!(coordinator.courier_restarted(ms(2), CourierId(1), 2), [id]);
+    assert_eq!(coordinator.courier_restarted(ms(2), CourierId(1), 2), [], "once for each incarnation");
+    assert_eq!(coordinator.record_piece(ms(2), id, &piece(1, 1, 1, true)), PieceOutcome::OldIncarnation);
+    assert_eq!(
+        coordinator.record_piece(ms(3), id, &piece(1, 3, 0, true)),
+        PieceOutcome::New,
+        "an incarnation that was not announced"
+    );
+    coordinator.record_piece(ms(3), id, &piece(2, 1, 0, false));
+    assert_eq!(coordinator.record_piece(ms(4), id, &piece(2, 2, 0, true)), PieceOutcome::NewAfterRestart);
+    let answer = wait_for_end(&mut coordinator, ms(4), id);
     assert_eq!((answer.complete, answer.figure), (true, 20));
-    let id = desk.ask(ms(0), Kind::Held, 0, &[part(1)]).unwrap();
-    let again: Vec<usize> = (2..6).map(|life| desk.restarted(ms(2), Courier(1), life).len()).collect();
-    assert_eq!(again, [1, 1, 0, 0], "not for ever");
-    assert_eq!(whys(&end(&mut desk, ms(3), id)), [(1, Why::Restarted)]);
+    let id = coordinator.ask(ms(0), Kind::Held, 0, &[part(1)]).unwrap();
+    let again: Vec<usize> = (2..6)
+        .map(|incarnation| coordinator.courier_restarted(ms(2), CourierId(1), incarnation).len())
+        .collect();
+    assert_eq!(again, [1, 1, 0, 0], "the number of asks is limited");
+    assert_eq!(reasons(&wait_for_end(&mut coordinator, ms(3), id)), [(1, MissingReason::Restarted)]);
 }
 
 #[test]
-fn what_is_missing_is_told_with_why_and_what_was_known_before() {
-    let mut desk = desk();
+fn missing_parts_have_a_reason_and_the_previous_figure() {
+    let mut coordinator = new_coordinator();
     let fleet: Vec<Part> = (1..=4).map(part).collect();
-    let id = desk.ask(ms(0), Kind::Where, 77, &fleet).unwrap();
-    (1..=4).for_each(|c| assert_eq!(desk.piece(ms(2), id, &piece(c, 1, 0, true)), Taken::New));
-    assert!(end(&mut desk, ms(2), id).complete);
+    let id = coordinator.ask(ms(0), Kind::Where, 77, &fleet).unwrap();
+    (1..=4).for_each(|c| {
+        assert_eq!(coordinator.record_piece(ms(2), id, &piece(c, 1, 0, true)), PieceOutcome::New)
+    });
+    assert!(wait_for_end(&mut coordinator, ms(2), id).complete);
     let mut fleet = fleet;
-    (fleet[0].stand, fleet[3].stand) = (Stand::Away, Stand::Unknown);
-    let id = desk.ask(ms(60_000), Kind::Where, 77, &fleet).unwrap();
-    desk.refused(id, Courier(2));
-    desk.away(ms(60_001), Courier(3));
-    let answer = end(&mut desk, ms(60_001), id);
-    let expected = [(1, Why::Away), (2, Why::Refused), (3, Why::Away), (4, Why::Unknown)];
-    assert_eq!(whys(&answer), expected);
-    assert!(answer.missing.iter().all(|m| m.before.is_some_and(|b| b.figure == 10 && b.age >= ms(59_000))));
-    let other = desk.ask(ms(90_000), Kind::Where, 78, &fleet[..1]).unwrap();
+    (fleet[0].presence, fleet[3].presence) = (Presence::Away, Presence::Unknown);
+    let id = coordinator.ask(ms(60_000), Kind::Where, 77, &fleet).unwrap();
+    coordinator.record_refusal(id, CourierId(2));
+    coordinator.mark_away(ms(60_001), CourierId(3));
+    let answer = wait_for_end(&mut coordinator, ms(60_001), id);
+    let expected = [
+        (1, MissingReason::Away),
+        (2, MissingReason::Refused),
+        (3, MissingReason::Away),
+        (4, MissingReason::Unknown),
+    ];
+    assert_eq!(reasons(&answer), expected);
+    assert!(answer.missing.iter().all(|m| m.previous.is_some_and(|b| b.figure == 10 && b.age >= ms(59_000))));
+    let other = coordinator.ask(ms(90_000), Kind::Where, 78, &fleet[..1]).unwrap();
     assert_eq!(
-        end(&mut desk, ms(90_000), other).missing[0].before,
+        wait_for_end(&mut coordinator, ms(90_000), other).missing[0].previous,
         None,
-        "of another channel nothing is known"
+        "another channel has no previous figure"
     );
 }
 
 #[test]
-fn what_was_looked_for_ends_the_question_and_bounds_hold() {
-    let mut desk = desk();
+fn a_settling_piece_ends_the_question_and_limits_hold() {
+    let mut coordinator = new_coordinator();
     let fleet: Vec<Part> = (1..=40).map(part).collect();
-    let id = desk.ask(ms(0), Kind::Where, 0, &fleet).unwrap();
-    desk.piece(ms(1), id, &Piece { settles: true, ..piece(7, 1, 0, true) });
-    let answer = end(&mut desk, ms(1), id);
-    assert!(answer.complete && answer.took == ms(1));
+    let id = coordinator.ask(ms(0), Kind::Where, 0, &fleet).unwrap();
+    coordinator.record_piece(ms(1), id, &Piece { settles: true, ..piece(7, 1, 0, true) });
+    let answer = wait_for_end(&mut coordinator, ms(1), id);
+    assert!(answer.complete && answer.elapsed == ms(1));
     for _ in 0..16 {
-        desk.ask(ms(2), Kind::Where, 0, &fleet).unwrap();
+        coordinator.ask(ms(2), Kind::Where, 0, &fleet).unwrap();
     }
-    assert_eq!(desk.ask(ms(2), Kind::Where, 0, &fleet), Err(Refused::Full));
-    assert_eq!(Desk::new(AskConfig::default(), ME, 1).ask(ms(0), Kind::Held, 0, &[]), Err(Refused::Parts));
+    assert_eq!(coordinator.ask(ms(2), Kind::Where, 0, &fleet), Err(AskError::TooManyQuestions));
+    assert_eq!(
+        Coordinator::new(AskConfig::default(), ME, 1).ask(ms(0), Kind::Held, 0, &[]),
+        Err(AskError::FleetSize)
+    );
     let many: Vec<Part> = (1..=1_025).map(part).collect();
-    assert_eq!(Desk::new(AskConfig::default(), ME, 1).ask(ms(0), Kind::Held, 0, &many), Err(Refused::Parts));
+    assert_eq!(
+        Coordinator::new(AskConfig::default(), ME, 1).ask(ms(0), Kind::Held, 0, &many),
+        Err(AskError::FleetSize)
+    );
 }
 
-/// Where all weight is missing, and known to be, nobody is waited for; a part that holds nearly all is waited for longer.
+/// Where all remaining weight belongs to couriers known to be away, nothing is waited for; a part with nearly all of the weight is
+/// waited for longer than a light one.
 #[test]
-fn the_wait_follows_what_a_part_holds_and_an_asker_in_the_smaller_part_says_so() {
-    let took = |weight: f64, stand: Stand| {
-        let mut desk = desk();
+fn the_wait_depends_on_weights_and_an_asker_without_majority_reports_it() {
+    let ask = |weight: f64, presence: Presence| {
+        let mut coordinator = new_coordinator();
         let mut fleet: Vec<Part> = (1..=40).map(part).collect();
-        (fleet[0].weight, fleet[0].stand) = (Some(weight), Stand::There);
-        fleet[13..].iter_mut().for_each(|p| p.stand = stand);
-        let id = desk.ask(ms(0), Kind::Held, 0, &fleet).unwrap();
-        (2..=13).for_each(|c| assert_eq!(desk.piece(ms(1), id, &piece(c, 1, 0, true)), Taken::New));
-        let answer = end(&mut desk, ms(1), id);
-        (answer.took, answer.majority)
+        (fleet[0].weight, fleet[0].presence) = (Some(weight), Presence::Present);
+        fleet[13..].iter_mut().for_each(|p| p.presence = presence);
+        let id = coordinator.ask(ms(0), Kind::Held, 0, &fleet).unwrap();
+        (2..=13).for_each(|c| {
+            assert_eq!(coordinator.record_piece(ms(1), id, &piece(c, 1, 0, true)), PieceOutcome::New)
+        });
+        let answer = wait_for_end(&mut coordinator, ms(1), id);
+        (answer.elapsed, answer.majority)
     };
-    let (none, light, heavy) = (took(0.0, Stand::Away), took(0.5, Stand::Away), took(500.0, Stand::Away));
+    let (none, light, heavy) =
+        (ask(0.0, Presence::Away), ask(0.5, Presence::Away), ask(500.0, Presence::Away));
     assert!(
         none.0 == ms(1) && none.0 <= light.0 && light.0 < heavy.0 && heavy.0 <= ms(2_000),
         "{light:?} {heavy:?}"
     );
-    assert!(!none.1 && took(0.0, Stand::There).1, "14 of 41 are the smaller part");
+    assert!(!none.1 && ask(0.0, Presence::Present).1, "14 of 41 are no majority");
 }
 
-/// Given up each time and cut off, one that was lost and answers again would be lost for ever if nothing were forgotten.
+/// Without decay of evidence, a courier that did not answer for a long time and whose connection is closed at the end of each
+/// question would never be waited for again, although it answers by now.
 #[test]
-fn one_that_was_given_up_is_given_another_chance() {
-    let waited = |memory: f64| {
+fn a_courier_that_is_no_longer_waited_for_is_tried_again() {
+    let answers_received = |memory: f64| {
         let mut config = AskConfig::default();
-        (config.memory.answers, config.memory.linger) = (memory, ms(0));
-        config.worth.iter_mut().for_each(|w| w.ms_costs = 0.000_5);
-        let mut desk = Desk::new(config, ME, 1);
+        (config.latency_memory.answers, config.latency_memory.linger) = (memory, ms(0));
+        config.answer_values.iter_mut().for_each(|w| w.cost_per_ms = 0.000_5);
+        let mut coordinator = Coordinator::new(config, ME, 1);
         let fleet: Vec<Part> = (1..=10).map(part).collect();
-        let mut came = 0;
+        let mut received = 0;
         for n in 0..500u64 {
-            let (start, back) = (ms(n * 10_000), n >= 400);
-            let id = desk.ask(start, Kind::Held, 0, &fleet).unwrap();
+            let (start, recovered) = (ms(n * 10_000), n >= 400);
+            let id = coordinator.ask(start, Kind::Held, 0, &fleet).unwrap();
             let mut now = start;
-            while let Verdict::Wait(again) = desk.decide(now, id).unwrap() {
+            while let Decision::Wait(again) = coordinator.decide(now, id).unwrap() {
                 let next = again.min(start + ms(if again <= start + ms(4) { 4 } else { 40 }));
                 now = if next > now { next } else { again };
                 if now == start + ms(4) {
-                    (2..=10).for_each(|c| assert_eq!(desk.piece(now, id, &piece(c, 1, 0, true)), Taken::New));
+                    (2..=10).for_each(|c| {
+                        assert_eq!(
+                            coordinator.record_piece(now, id, &piece(c, 1, 0, true)),
+                            PieceOutcome::New
+                        )
+                    });
                 }
-                if now == start + ms(40) && back {
-                    came += u32::from(desk.piece(now, id, &piece(1, 1, 0, true)) == Taken::New);
+                if now == start + ms(40) && recovered {
+                    received += u32::from(
+                        coordinator.record_piece(now, id, &piece(1, 1, 0, true)) == PieceOutcome::New,
+                    );
                 }
             }
         }
-        came
+        received
     };
-    let (fades, never_fades) = (waited(32.0), waited(10_000.0));
-    assert!(fades > 60 && never_fades < fades / 2, "{fades} {never_fades} of 100");
+    let (decaying, lasting) = (answers_received(32.0), answers_received(10_000.0));
+    assert!(decaying > 60 && lasting < decaying / 2, "{decaying} {lasting} of 100");
 }
 
 #[test]
-fn silences_count_and_the_figures_are_those_of_the_library() {
-    let mut latency = Latency::new(&AskConfig::default());
-    let (mut library, mut x) = (Histogram::<u64>::new(3).unwrap(), 1u64);
+fn silences_are_evidence_and_quantiles_agree_with_hdrhistogram() {
+    let mut latency = LatencyModel::new(&AskConfig::default());
+    let (mut histogram, mut random) = (Histogram::<u64>::new(3).unwrap(), 1u64);
     for n in 0..400 {
-        x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-        let at = Micros(5_000 + (x >> 40) % 60_000);
-        latency.answer(Micros(n), Kind::Held, Courier(n as u16 % 40), Micros(0), at);
-        library.record(at.0).unwrap();
+        random = random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+        let at = Micros(5_000 + (random >> 40) % 60_000);
+        latency.record_answer(Micros(n), Kind::Held, CourierId(n as u16 % 40), Micros(0), at);
+        histogram.record(at.0).unwrap();
     }
-    let pool = latency.pool(Micros(400), Kind::Held);
+    let pool = latency.pooled_curve(Micros(400), Kind::Held);
     for share in [0.25, 0.5, 0.75, 0.9] {
-        let (mine, theirs) =
-            (pool.quantile(share).unwrap().0 as f64, library.value_at_quantile(share) as f64);
-        assert!((mine / theirs).ln().abs() < 0.25, "{share}: {mine} {theirs}");
+        let (learnt, measured) =
+            (pool.quantile(share).unwrap().0 as f64, histogram.value_at_quantile(share) as f64);
+        assert!((learnt / measured).ln().abs() < 0.25, "{share}: {learnt} {measured}");
     }
-    // As many silences of 100 ms as answers: half have come by the end of the answers, not all.
+    // As many silences of 100 ms as answers: by the end of the answers half of all questions have been answered.
     for n in 0..400 {
-        latency.silence(Micros(400), Kind::Held, Courier(n % 40), Micros(0), ms(100));
+        latency.record_silence(Micros(400), Kind::Held, CourierId(n % 40), Micros(0), ms(100));
     }
-    let pool = latency.pool(Micros(400), Kind::Held);
-    let by = 1.0 - (-pool.sum(ms(80))).exp();
-    assert!((0.35..0.65).contains(&by), "{by}");
+    let pool = latency.pooled_curve(Micros(400), Kind::Held);
+    let answered = 1.0 - (-pool.cumulative_rate(ms(80))).exp();
+    assert!((0.35..0.65).contains(&answered), "{answered}");
 }
 
 #[test]
-fn a_courier_that_has_just_started_knows_what_others_measured() {
-    let mut old = Latency::new(&AskConfig::default());
+fn a_courier_that_has_just_started_uses_latencies_measured_by_others() {
+    let mut experienced = LatencyModel::new(&AskConfig::default());
     for n in 0..400u64 {
-        let courier = Courier(n as u16 % 40);
-        let at = if courier == Courier(3) { ms(400) } else { ms(8) };
+        let courier = CourierId(n as u16 % 40);
+        let at = if courier == CourierId(3) { ms(400) } else { ms(8) };
         match courier {
-            Courier(4) => old.silence(Micros(n), Kind::Held, courier, Micros(0), ms(16_000)),
-            _ => old.answer(Micros(n), Kind::Held, courier, Micros(0), at),
+            CourierId(4) => experienced.record_silence(Micros(n), Kind::Held, courier, Micros(0), ms(16_000)),
+            _ => experienced.record_answer(Micros(n), Kind::Held, courier, Micros(0), at),
         }
     }
-    let (now, entry) = (Micros(400), old.to_entry(Micros(400), Kind::Held).unwrap());
-    assert_eq!(old.to_entry(now, Kind::History), None);
-    let mut new = Latency::new(&AskConfig::default());
-    assert_eq!(new.merge_entry(now, Courier(1), 1, 2, &entry), Ok(Kind::Held));
-    let by = |courier: u16, t: Micros| {
-        let curve = new.curve(now, Kind::Held, Courier(courier), &new.pool(now, Kind::Held));
-        1.0 - (-curve.sum(t)).exp()
+    let (now, entry) = (Micros(400), experienced.encode_entry(Micros(400), Kind::Held).unwrap());
+    assert_eq!(experienced.encode_entry(now, Kind::History), None);
+    let mut fresh = LatencyModel::new(&AskConfig::default());
+    assert_eq!(fresh.merge_entry(now, CourierId(1), 1, 2, &entry), Ok(Kind::Held));
+    let answered_by = |courier: u16, latency: Micros| {
+        let curve =
+            fresh.courier_curve(now, Kind::Held, CourierId(courier), &fresh.pooled_curve(now, Kind::Held));
+        1.0 - (-curve.cumulative_rate(latency)).exp()
     };
-    assert!(by(9, ms(12)) > 0.75 && by(9, ms(5)) < 0.2, "{} {}", by(9, ms(12)), by(9, ms(5)));
-    assert!(by(3, ms(200)) < 0.3 && by(3, ms(800)) > 0.6, "{} {}", by(3, ms(200)), by(3, ms(800)));
-    assert!(by(4, ms(1_000)) < 0.5, "{}", by(4, ms(1_000)));
-    assert_eq!(new.to_entry(now, Kind::Held), None, "hearsay is not told on");
-    assert_eq!(new.merge_entry(now, Courier(1), 1, 2, &entry), Err(EntryFault::Old));
-    assert_eq!(new.merge_entry(now, Courier(1), 2, 1, &entry), Ok(Kind::Held), "a later life");
+    assert!(
+        answered_by(9, ms(12)) > 0.75 && answered_by(9, ms(5)) < 0.2,
+        "{} {}",
+        answered_by(9, ms(12)),
+        answered_by(9, ms(5))
+    );
+    assert!(
+        answered_by(3, ms(200)) < 0.3 && answered_by(3, ms(800)) > 0.6,
+        "{} {}",
+        answered_by(3, ms(200)),
+        answered_by(3, ms(800))
+    );
+    assert!(answered_by(4, ms(1_000)) < 0.5, "{}", answered_by(4, ms(1_000)));
+    assert_eq!(fresh.encode_entry(now, Kind::Held), None, "received entries are not forwarded");
+    assert_eq!(fresh.merge_entry(now, CourierId(1), 1, 2, &entry), Err(EntryError::Outdated));
+    assert_eq!(fresh.merge_entry(now, CourierId(1), 2, 1, &entry), Ok(Kind::Held), "a later incarnation");
     let mut newer = entry;
     newer[0] = 2;
-    assert_eq!(new.merge_entry(now, Courier(1), 3, 1, &newer), Err(EntryFault::Version));
-    assert_eq!(new.merge_entry(now, Courier(1), 3, 1, &entry[..47]), Err(EntryFault::Bad));
+    assert_eq!(fresh.merge_entry(now, CourierId(1), 3, 1, &newer), Err(EntryError::UnknownVersion));
+    assert_eq!(fresh.merge_entry(now, CourierId(1), 3, 1, &entry[..47]), Err(EntryError::Malformed));
 }
 
 quickcheck! {
-    fn no_bytes_and_no_times_harm(bytes: Vec<u8>, lives: (u64, u64), times: Vec<u64>) -> bool {
-        let mut latency = Latency::new(&AskConfig::default());
-        let mut whole = bytes.clone();
-        whole.resize(ENTRY_BYTES, 0);
-        (whole[0], whole[1], whole[2], whole[3], whole[47]) = (1, whole[1] % 5, whole[2].max(1), whole[3] % 10, 0);
-        let _ = latency.merge_entry(Micros(0), ME, lives.0, lives.1, &bytes);
-        let merged = latency.merge_entry(Micros(0), Courier(9), lives.0, lives.1, &whole);
+    fn arbitrary_entries_and_times_keep_rates_finite(bytes: Vec<u8>, versions: (u64, u64), times: Vec<u64>) -> bool {
+        let mut latency = LatencyModel::new(&AskConfig::default());
+        let mut valid = bytes.clone();
+        valid.resize(ENTRY_BYTES, 0);
+        (valid[0], valid[1], valid[2], valid[3], valid[47]) = (1, valid[1] % 5, valid[2].max(1), valid[3] % 10, 0);
+        let _ = latency.merge_entry(Micros(0), ME, versions.0, versions.1, &bytes);
+        let merged = latency.merge_entry(Micros(0), CourierId(9), versions.0, versions.1, &valid);
         for pair in times.windows(2) {
-            latency.silence(Micros(pair[0]), Kind::Held, ME, Micros(pair[0]), Micros(pair[1]));
-            latency.answer(Micros(pair[1]), Kind::Held, ME, Micros(pair[0]), Micros(pair[1]));
+            latency.record_silence(Micros(pair[0]), Kind::Held, ME, Micros(pair[0]), Micros(pair[1]));
+            latency.record_answer(Micros(pair[1]), Kind::Held, ME, Micros(pair[0]), Micros(pair[1]));
         }
         Kind::ALL.iter().all(|(_, kind)| {
-            let curve = latency.curve(Micros(1), *kind, ME, &latency.pool(Micros(1), *kind));
+            let curve = latency.courier_curve(Micros(1), *kind, ME, &latency.pooled_curve(Micros(1), *kind));
             (0..BUCKETS).all(|b| curve.rate(b).is_finite() && curve.rate(b) >= 0.0)
         }) && merged.is_ok()
     }
