--- a/src/peers/codec.rs
+++ b/src/peers/codec.rs
@@ -1,42 +1,42 @@
-//! What a note between couriers looks like. `version u8, tag u16, crc u32` (little-endian), then a [`GossipMessage`] by postcard; in version 2
-//! a [`DirectPayload`] behind it.
+//! Wire format of gossip messages: `version u8, tag u16, crc u32` (little-endian), then a [`GossipMessage`]
+//! encoded with postcard; in version 2 followed by a [`DirectPayload`].
 //!
-//! The checksum is begun with the fleet's whole name, of which the tag is a part: a foreign fleet's note passes neither by
-//! its tag nor by chance.
+//! The checksum also covers the fleet's full identifier, of which the tag is a part, so that a message of
+//! another fleet passes neither by its tag nor by chance.
 
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// The version that is written where there is nothing for the receiver alone.
+/// The version written for a message without a direct payload.
 pub const BASE_VERSION: u8 = 1;
-/// The version that is written where there is; a higher one is not read.
+/// The version written for a message with one; higher versions are not read.
 pub const VERSION: u8 = 2;
-/// Bytes before the note itself.
+/// Bytes before the message itself.
 pub const HEADER_BYTES: usize = 7;
-/// No datagram is longer.
+/// Longest datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// An entry's value is no longer.
+/// Longest value of an entry or a direct update.
 pub const MAX_VALUE_BYTES: usize = 48;
 
-/// Why a datagram was not believed.
+/// Why a datagram was refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Refusal {
-    /// Cut, damaged, or not a note at all.
+    /// Truncated, damaged, or not a gossip message.
     Malformed,
-    /// Another fleet's.
+    /// From another fleet.
     Foreign,
-    /// A newer version of the format.
+    /// In a newer version of the format.
     Newer,
-    /// From a number that is no member, or not from that member's address, or from this one itself.
+    /// From a number that is no member, from another address than that member's, or from this member itself.
     Unknown,
-    /// From a life that has been followed by another.
+    /// From a process run that has been replaced by another.
     Old,
-    /// An incarnation, counter or time that nobody can have reached yet.
+    /// With an incarnation, counter or time that cannot have been reached yet.
     Future,
 }
 
 impl Refusal {
-    /// All there are, in the order of their counts.
+    /// All reasons, in the order of their counters.
     pub const ALL: [Refusal; 6] = [
         Refusal::Malformed,
         Refusal::Foreign,
@@ -47,108 +47,109 @@
     ];
 }
 
-/// One datagram's content.
+/// The content of one datagram.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct GossipMessage {
     /// The sender's number.
     pub from: u16,
-    /// Its life.
+    /// The incarnation of its run.
     pub incarnation: u64,
-    /// How old that life is, on its own clock, in milliseconds.
+    /// The age of that run on its own clock, in milliseconds.
     pub at: u64,
-    /// In how many tenths of a second its next beat comes at the latest; 0: it is leaving.
+    /// The longest time until its next heartbeat, in tenths of a second; 0: it is leaving.
     pub next: u16,
     /// Its newest counter.
     pub top: u64,
-    /// News of others.
+    /// Digests of other members.
     pub tops: Vec<MemberDigest>,
-    /// What the sender lacks and asks the receiver for.
+    /// Entries that the sender lacks and requests from the receiver.
     pub asks: Vec<EntryRequest>,
     /// Entries.
     pub blocks: Vec<EntryBlock>,
-    /// What is for the receiver alone.
+    /// Updates and acknowledgements for the receiver alone.
     #[serde(skip)]
     pub private: Option<DirectPayload>,
 }
 
-/// What one member says to one other.
+/// What one member sends to one other alone.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DirectPayload {
-    /// The life of the receiver's that it is for.
+    /// The incarnation of the receiver's run that it is for.
     pub to_life: u64,
-    /// What was heard from that life.
+    /// Acknowledgements of updates that this run sent.
     pub taken: Vec<DirectAck>,
-    /// What is said.
+    /// The updates.
     pub words: Vec<DirectUpdate>,
 }
 
-/// A word for one member.
+/// An update for one member.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectUpdate {
     /// Its kind.
     pub kind: u8,
-    /// Which of its kind.
+    /// Its id within its kind.
     pub id: u32,
-    /// Rising with each word that the sender's life says to anybody.
+    /// A sequence number that rises with each update that the sender's run issues to any member.
     pub turn: u64,
-    /// So long ago it was first said, in milliseconds.
+    /// Time since it was first issued, in milliseconds.
     pub age: u32,
-    /// What it says.
+    /// Its content.
     pub value: Vec<u8>,
 }
 
-/// That a word, and all before it with this kind and number, was heard.
+/// Acknowledges an update and all earlier ones with this kind and id.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct DirectAck {
-    /// Its kind.
+    /// The kind.
     pub kind: u8,
-    /// Which of its kind.
+    /// The id within the kind.
     pub id: u32,
-    /// Its turn.
+    /// The sequence number.
     pub turn: u64,
 }
 
-/// News of a member.
+/// What the sender knows of another member.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct MemberDigest {
-    /// Of whom.
+    /// The member's number.
     pub owner: u16,
-    /// Its life.
+    /// The incarnation of its run.
     pub incarnation: u64,
-    /// The newest counter known of that life.
+    /// The newest counter of that run that the sender can pass on.
     pub top: u64,
-    /// The newest time of that life, on its own clock, that is known, in tenths of a second, from 1.
+    /// The newest known time of that run on its own clock, in tenths of a second, from 1.
     pub stamp: u64,
-    /// So long ago it was alive, in tenths of a second.
+    /// Time since it was alive, in tenths of a second.
     pub age: u32,
 }
 
-/// A wish for an owner's entries.
+/// A request for an owner's entries.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct EntryRequest {
-    /// Whose.
+    /// The owner's number.
     pub owner: u16,
-    /// Of which life.
+    /// The incarnation of its run.
     pub incarnation: u64,
-    /// Up to this counter nothing is lacking.
+    /// No entry up to this counter is missing.
     pub have: u64,
-    /// How far a sweep has come, and the [`EntryBlock::swept`] that it is for; 0 if there is none.
+    /// The progress of a sweep and the [`EntryBlock::swept`] for which it runs; 0 if there is none.
     pub sweep: (u64, u64),
 }
 
-/// An owner's entries with counters above `from` and up to `to`: those that still stand, all of them.
+/// All live entries and tombstones of an owner with counters above `from` and up to `to`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EntryBlock {
-    /// Whose.
+    /// The owner's number.
     pub owner: u16,
-    /// Of which life.
+    /// The incarnation of its run.
     pub incarnation: u64,
-    /// Above this.
+    /// Lower bound of the counters, exclusive.
     pub from: u64,
-    /// Up to this.
+    /// Upper bound of the counters, inclusive.
     pub to: u64,
-    /// Up to this counter things went without a word of their own (0: nothing did, as far as the receiver needs to know). Of
-    /// this range, what is not named here no longer stands; nothing is lacking once such blocks reach from 0 to the top.
+    /// Up to this counter entries were removed without a tombstone (0: none, as far as the receiver needs to
+    /// know). Entries in the block's range that it does not list no longer exist; nothing is missing once
+    /// such blocks reach from 0 to the highest counter.
     pub swept: u64,
     /// The entries.
     pub items: Vec<EntryItem>,
@@ -157,19 +158,20 @@
 /// One entry.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct EntryItem {
-    /// Its kind; the lower, the more urgent.
+    /// Its kind; lower kinds are more urgent.
     pub kind: u8,
-    /// Which of its kind.
+    /// Its id within its kind.
     pub id: u32,
-    /// Its counter, from the block's `from`.
+    /// Its counter, relative to the block's `from`.
     pub step: u64,
-    /// So long ago it was set, in milliseconds.
+    /// Time since it was set, in milliseconds.
     pub age: u32,
-    /// Its value; none once it is dropped.
+    /// Its value; `None` for a tombstone.
     pub value: Option<Vec<u8>>,
 }
 
-/// The fleet's name as a number, from what tells it apart, such as the names in the settings, in their order.
+/// The fleet's identifier: a hash over the names that distinguish it, such as those in the settings, in their
+/// order.
 pub fn cluster<'a>(names: impl IntoIterator<Item = &'a str>) -> u64 {
     let mut hash = Sha256::new();
     for name in names {
@@ -188,12 +190,12 @@
     crc.finalize()
 }
 
-/// How many bytes something takes inside a note. What can't be written takes more than there are.
+/// Encoded length of a value inside a message; `usize::MAX` if it can't be encoded.
 pub fn encoded_len(of: &impl Serialize) -> usize {
     postcard::serialize_with_flavor(of, postcard::ser_flavors::Size::default()).unwrap_or(usize::MAX)
 }
 
-/// A datagram with this note; none if it were longer than [`MAX_DATAGRAM_BYTES`].
+/// Encodes a message as a datagram; `None` if it were longer than [`MAX_DATAGRAM_BYTES`].
 pub fn encode(cluster: u64, note: &GossipMessage) -> Option<Vec<u8>> {
     let mut body = postcard::to_allocvec(note).ok()?;
     let version = if note.private.is_some() { VERSION } else { BASE_VERSION };
@@ -208,7 +210,7 @@
     (bytes.len() <= MAX_DATAGRAM_BYTES).then_some(bytes)
 }
 
-/// The note in a datagram. Never panics, whatever the bytes; what it allocates is bounded by their number.
+/// Decodes a datagram. Never panics, whatever the bytes; allocation is bounded by their number.
 pub fn decode(cluster: u64, bytes: &[u8]) -> Result<GossipMessage, Refusal> {
     let [version, tag @ ..] = bytes else { return Err(Refusal::Malformed) };
     let Some((tag, rest)) = tag.split_first_chunk::<2>() else { return Err(Refusal::Malformed) };
@@ -222,7 +224,7 @@
     if u32::from_le_bytes(*crc) != checksum(cluster, *version, body) {
         return Err(Refusal::Malformed);
     }
-    // After the checksum: a damaged byte is no newer version.
+    // Checked after the checksum, so that a damaged byte does not count as a newer version.
     if *version > VERSION {
         return Err(Refusal::Newer);
     }
--- a/src/peers/config.rs
+++ b/src/peers/config.rs
@@ -1,33 +1,34 @@
-//! What the ground is set up with.
+//! Configuration of the gossip between couriers.
 
 use super::codec;
 use crate::api::Micros;
 
-/// What the settings or the operators settle.
+/// Gossip parameters, from the settings or an administrator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The fleet's name: [`cluster`].
+    /// The fleet's identifier; see [`cluster`].
     pub cluster: u64,
-    /// What is sent has so many bytes at most, 160 to 256: the longest datagram less what a frame around it takes.
+    /// Longest datagram sent, 160 to 256 bytes: the longest allowed less the frame around it.
     pub max_datagram_bytes: usize,
-    /// How often each member says that it is there.
+    /// Heartbeat interval.
     pub beat_interval: Micros,
-    /// Beats take so many bytes a second at most, over all receivers: with more members they come less often.
+    /// Most bytes per second that heartbeats take, over all receivers; larger fleets send heartbeats less
+    /// often.
     pub max_beat_bytes_per_s: f64,
-    /// Bytes that each message handled adds to what may be sent, over all receivers.
+    /// Bytes that each handled message adds to the traffic budget, over all receivers.
     pub bytes_per_message: f64,
-    /// Notes a second, each receiver counted; raised to what beats need.
+    /// Most gossip messages per second, counting each receiver; raised to what heartbeats need.
     pub messages_per_s: f64,
-    /// What is set within such a time goes out together.
+    /// Entries that are set within this time are sent together.
     pub batch_delay: Micros,
-    /// For so long what a former life said goes on standing where the new one says nothing of it.
+    /// How long entries of a previous run stay valid where the new run has not replaced them.
     pub previous_run_ttl: Micros,
-    /// Others' entries in all, dropped ones included.
+    /// Most entries of other members, tombstones included.
     pub max_peer_entries: usize,
 }
 
 impl Config {
-    /// The usual figures, for this fleet.
+    /// The default configuration for this fleet.
     pub fn new(cluster: u64) -> Config {
         Config {
             cluster,
--- a/src/peers/direct.rs
+++ b/src/peers/direct.rs
@@ -1,8 +1,9 @@
-//! DirectUpdates for one member alone: the newest by receiver, kind and number, said again until it is taken or has lived its time.
-//! `docs/design/peers.md` says why it is cut so.
+//! Direct updates for one member alone: the newest by receiver, kind and id is retransmitted until it is
+//! acknowledged or expires. `docs/design/peers.md` gives the reasons for the design.
 //!
-//! **Bounds.** [`MAX_OUTGOING`] words to be said and [`MAX_RECEIVED`] that were heard, of which the oldest goes first; [`MAX_PENDING_ACKS`] that are to be named as
-//! taken: what comes beyond is named when it comes again.
+//! **Bounds.** At most [`MAX_OUTGOING`] updates to send and [`MAX_RECEIVED`] received ones, of which the
+//! oldest is dropped first, and [`MAX_PENDING_ACKS`] pending acknowledgements; an update beyond that is
+//! acknowledged when it is retransmitted.
 
 use super::codec::{encoded_len, DirectAck, DirectPayload, DirectUpdate};
 use super::{MAX_RETRY_DELAY, RETRY_DELAY};
@@ -10,20 +11,20 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// DirectUpdates to be said, at most.
+/// Most updates to send.
 pub const MAX_OUTGOING: usize = 256;
-/// DirectUpdates heard, at most.
+/// Most received updates.
 pub const MAX_RECEIVED: usize = 1_024;
-/// DirectUpdates to be named as taken, at most.
+/// Most pending acknowledgements.
 pub const MAX_PENDING_ACKS: usize = 256;
-/// What is said within such a time goes together.
+/// Updates that are issued within this time are sent together.
 const BATCH_DELAY: Micros = Micros(10_000);
-/// No life says so many words: a turn beyond is from the future.
+/// A sequence number from here on is rejected: no run issues so many updates.
 const MAX_TURN: u64 = 1 << 48;
 
 type Key = (u16, u8, u32);
 
-/// A word that is to be said.
+/// An update to send.
 #[derive(Debug, Clone, PartialEq)]
 struct OutgoingUpdate {
     turn: u64,
@@ -34,33 +35,34 @@
     until: Micros,
 }
 
-/// A word that was heard.
+/// A received update.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ReceivedUpdate {
-    /// The life that said it.
+    /// The incarnation of the run that sent it.
     pub incarnation: u64,
-    /// Its turn in that life.
+    /// Its sequence number in that run.
     pub turn: u64,
-    /// What it says.
+    /// Its content.
     pub value: Arc<[u8]>,
-    /// When it was said, on this member's clock.
+    /// When it was issued, on this member's clock.
     pub set_at: Micros,
 }
 
-/// What one life says to single members, and hears from them.
+/// The direct updates that one process run sends and receives.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct DirectUpdates {
     out: BTreeMap<Key, OutgoingUpdate>,
     heard: BTreeMap<Key, ReceivedUpdate>,
-    /// What was heard and is yet to be named as taken, with its turn.
+    /// Received updates that are to be acknowledged, with their sequence numbers.
     owed: BTreeMap<Key, u64>,
     turn: u64,
-    /// Who was spoken to last, so that each has its turn.
+    /// The member that was sent to last, for round-robin.
     last: u16,
 }
 
 impl DirectUpdates {
-    /// Says something to `to` until it is taken, at the latest until then. It replaces what was said with this kind and number.
+    /// Sends an update to `to` until it is acknowledged, at most until `until`. It replaces the one with this
+    /// kind and id.
     pub fn say(&mut self, now: Micros, to: u16, kind: u8, id: u32, value: &[u8], until: Micros) {
         self.turn += 1;
         if self.out.len() >= MAX_OUTGOING && !self.out.contains_key(&(to, kind, id)) {
@@ -75,12 +77,12 @@
         );
     }
 
-    /// A note's words came from this life of `from`; `late` is how much longer it took than the quickest. Says how many of them
-    /// nobody can have said yet.
+    /// Takes in the payload of a message from this run of `from`; `late` is how much longer it took than the
+    /// fastest. Returns how many of its updates have sequence numbers out of range.
     pub fn heard(
         &mut self, now: Micros, from: u16, incarnation: u64, late: Micros, private: &DirectPayload,
     ) -> u64 {
-        // Danger: a turn that is never reached would stand above all that are said later.
+        // An unreachable sequence number would stay above all later ones.
         let sound = |word: &&DirectUpdate| word.turn < MAX_TURN;
         for word in private.words.iter().filter(sound) {
             let key = (from, word.kind, word.id);
@@ -95,14 +97,15 @@
                 let value = Arc::from(word.value.as_slice());
                 self.heard.insert(key, ReceivedUpdate { incarnation, turn: word.turn, value, set_at });
             }
-            // Also what came twice: the first answer may be lost. The newest known covers all before it.
+            // Duplicates are acknowledged too, as the first acknowledgement may be lost. The newest known one
+            // covers all before it.
             if self.owed.len() < MAX_PENDING_ACKS || self.owed.contains_key(&key) {
                 let newest = known.filter(|k| k.0 == incarnation).map_or(word.turn, |k| k.1.max(word.turn));
                 self.owed.insert(key, newest);
             }
         }
         for DirectAck { kind, id, turn } in &private.taken {
-            // Danger: an answer to an older word says nothing of the one that has replaced it.
+            // The acknowledgement of an older update does not cover the one that replaced it.
             if self.out.get(&(from, *kind, *id)).is_some_and(|out| out.turn <= *turn) {
                 self.out.remove(&(from, *kind, *id));
             }
@@ -110,8 +113,8 @@
         private.words.iter().filter(|word| !sound(word)).count() as u64
     }
 
-    /// Another life of `of` began: what was heard of the former one is answered to nobody, and what is to be said is for the new
-    /// one to hear at once. What the former one said stands until it is replaced.
+    /// Member `of` started a new run: acknowledgements for the previous run are dropped, and updates are sent
+    /// to the new run at once. What the previous run sent stays valid until it is replaced.
     pub fn renewed(&mut self, now: Micros, of: u16) {
         self.owed.retain(|key, _| key.0 != of);
         for (_, out) in self.out.range_mut((of, 0, 0)..=(of, u8::MAX, u32::MAX)) {
@@ -119,26 +122,26 @@
         }
     }
 
-    /// There are only these members from now on.
+    /// Keeps only the members that `there` accepts.
     pub fn retain(&mut self, there: impl Fn(u16) -> bool) {
         self.out.retain(|key, _| there(key.0));
         self.heard.retain(|key, _| there(key.0));
         self.owed.retain(|key, _| there(key.0));
     }
 
-    /// What was heard of this kind, by sender and number.
+    /// Received updates of this kind, by sender and id.
     pub fn of(&self, kind: u8) -> impl Iterator<Item = (u16, u32, &ReceivedUpdate)> {
         self.heard.iter().filter(move |(key, _)| key.1 == kind).map(|(key, heard)| (key.0, key.2, heard))
     }
 
-    /// When something is to be said next.
+    /// When something is to be sent next.
     pub fn due(&self) -> Option<Micros> {
         let owed = (!self.owed.is_empty()).then_some(Micros(0));
         self.out.values().map(|out| out.due.min(out.until)).min().into_iter().chain(owed).min()
     }
 
-    /// The next one who is to be spoken to, of those that `there` says are to be reached. What has lived its time goes, and what
-    /// is for one who is away waits.
+    /// The next member to send to, of those that `there` says are reachable. Expired updates are dropped;
+    /// those for unreachable members wait.
     pub fn next(&mut self, now: Micros, there: impl Fn(u16) -> bool) -> Option<u16> {
         self.out.retain(|_, out| now < out.until);
         self.owed.retain(|key, _| there(key.0));
@@ -151,12 +154,13 @@
         Some(next)
     }
 
-    /// What is said to `to` now, in so many bytes, for its life `to_life`; `spread` draws the wait before it is said again, from 0 to 1.
+    /// What is sent now to run `to_life` of `to`, up to `room` bytes; `spread` from 0 to 1 varies the time
+    /// until it is retransmitted.
     pub fn speak(
         &mut self, now: Micros, to: u16, to_life: u64, room: usize, spread: f64,
     ) -> Option<DirectPayload> {
         let mut private = DirectPayload { to_life, ..DirectPayload::default() };
-        // Two counters of a byte each grow to two.
+        // The lengths of the two lists may grow from one byte to two each.
         let mut left = room.checked_sub(encoded_len(&private) + 2)?;
         let range = (to, 0, 0)..=(to, u8::MAX, u32::MAX);
         let owed: Vec<_> = self.owed.range(range.clone()).map(|(key, turn)| (*key, *turn)).collect();
--- a/src/peers/entries.rs
+++ b/src/peers/entries.rs
@@ -1,54 +1,56 @@
-//! The entries of one owner, as one member has them. An entry's version is its owner's life and a counter that rises over all
-//! entries of that life; the higher version stands. `seen` says that nothing is lacking up to there.
+//! The entries of one owner as one member holds them. An entry's version is the incarnation of its owner's
+//! run and a counter that rises over all entries of that run; the higher version wins. No entry with a
+//! counter up to `seen` is missing.
 
 use super::codec::{encoded_len, EntryBlock, EntryItem, EntryRequest};
 use crate::api::Micros;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// An owner has no more entries that stand.
+/// Most live entries of one owner.
 pub const MAX_ENTRIES_PER_OWNER: usize = 64;
-/// Of those that were dropped so many are remembered.
+/// Most tombstones that are kept per owner.
 pub const MAX_TOMBSTONES_PER_OWNER: usize = 32;
-/// A counter that is further above the known one is from the future.
+/// A counter that is further than this above the known one is rejected as coming from the future.
 pub const MAX_COUNTER_JUMP: u64 = 1 << 32;
 
-/// One entry.
+/// One stored entry.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredEntry {
-    /// The life that set it.
+    /// The incarnation of the run that set it.
     pub incarnation: u64,
-    /// Its counter in that life; 0 while it was never sent.
+    /// Its counter in that run; 0 until it is first sent.
     pub counter: u64,
     /// When it was set, on this member's clock.
     pub set_at: Micros,
-    /// Its value; none once it is dropped.
+    /// Its value; `None` for a tombstone.
     pub value: Option<Arc<[u8]>>,
 }
 
-/// One owner's entries.
+/// The entries of one owner.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct OwnerEntries {
-    /// The owner's highest life.
+    /// The owner's highest incarnation.
     pub incarnation: u64,
-    /// Nothing of that life is lacking up to this counter.
+    /// No entry of that run is missing up to this counter.
     pub seen: u64,
-    /// The highest counter that was told of.
+    /// The highest counter that was announced.
     pub top: u64,
-    /// By kind and number.
+    /// By kind and id.
     pub items: BTreeMap<(u8, u32), StoredEntry>,
-    /// Up to this counter, things are gone without a tombstone.
+    /// Up to this counter, entries were removed without a tombstone.
     pub(super) purged: u64,
-    /// How far a sweep has come, and for which `purged` of its holder.
+    /// The progress of a sweep (a full retransmission) and the holder's `purged` for which it runs.
     pub(super) sweep: (u64, u64),
-    /// Something of this life was given up for want of room: it can't be passed on as whole.
+    /// Entries of this run were evicted, so these entries can't be passed on as complete.
     pub partial: bool,
-    /// Until when entries of former lives are kept.
+    /// When entries of previous runs expire.
     pub former_until: Micros,
 }
 
 impl OwnerEntries {
-    /// A higher life: its numbers start anew. What former lives said stays until it is replaced, or until then.
+    /// Starts a newer run: its counters start at zero. Entries of previous runs stay until they are replaced,
+    /// or until `previous_until`.
     pub fn renew(&mut self, incarnation: u64, former_until: Micros) {
         if incarnation > self.incarnation {
             (self.incarnation, self.seen, self.top, self.purged) = (incarnation, 0, 0, 0);
@@ -57,17 +59,18 @@
         }
     }
 
-    /// Whether something is lacking.
+    /// Whether entries are missing.
     pub fn lacks(&self) -> bool {
         self.top > self.seen
     }
 
-    /// What to ask for.
+    /// The request for the missing entries.
     pub fn ask(&self, owner: u16) -> EntryRequest {
         EntryRequest { owner, incarnation: self.incarnation, have: self.seen, sweep: self.sweep }
     }
 
-    /// Takes in a block of this life's (a sound one; others change nothing). `late` is how much older it is than it says.
+    /// Merges a valid block of the current run; blocks of other runs change nothing. `late` is added to the
+    /// ages in the block.
     pub fn merge(&mut self, now: Micros, block: &EntryBlock, late: Micros) {
         if block.incarnation != self.incarnation || block.to > self.top.saturating_add(MAX_COUNTER_JUMP) {
             return;
@@ -75,7 +78,7 @@
         for item in &block.items {
             let version = (block.incarnation, block.from.saturating_add(item.step));
             let held = self.items.get(&(item.kind, item.id));
-            // Danger: what comes late, twice or out of order must not bring back what it was.
+            // A late, duplicate or reordered block must not bring back an older version.
             if held.is_none_or(|h| (h.incarnation, h.counter) < version) {
                 let set_at = now - late - Micros(u64::from(item.age) * 1_000);
                 let value = item.value.as_deref().map(Arc::from);
@@ -91,7 +94,8 @@
                 h.incarnation != block.incarnation || !range.contains(&h.counter) || named(h.counter)
             });
         }
-        // Danger: one block of a sweep that is lost leaves what nobody has any more; so they count only from the first on.
+        // If one block of a sweep is lost, entries that no longer exist would remain; so the blocks count
+        // only in an unbroken sequence from the first.
         let goes_on = of == block.swept && block.from <= at;
         let joins = match block.swept {
             0 => block.from <= self.seen,
@@ -108,7 +112,7 @@
         self.bound();
     }
 
-    /// Former lives' entries go, once their time is over.
+    /// Removes entries of previous runs once they have expired.
     pub fn fade(&mut self, now: Micros) {
         if now >= self.former_until {
             let life = self.incarnation;
@@ -116,7 +120,7 @@
         }
     }
 
-    /// Keeps to the bounds; true if something that stands was given up.
+    /// Enforces the limits on tombstones and on live entries.
     fn bound(&mut self) {
         let life = self.incarnation;
         let count =
@@ -130,7 +134,7 @@
             self.purged = self.purged.max(counter);
         }
         while count(self, false) > MAX_ENTRIES_PER_OWNER {
-            // Former lives' first, then the least urgent, then the oldest.
+            // Entries of previous runs go first, then the least urgent, then the oldest.
             let live = self.items.iter().filter(|(_, h)| h.value.is_some());
             let last = live.map(|(k, h)| (h.incarnation == life, std::cmp::Reverse(k.0), h.set_at, *k)).min();
             let Some((now_living, .., key)) = last else { break };
@@ -139,22 +143,23 @@
         }
     }
 
-    /// Gives up one entry for want of room elsewhere.
+    /// Evicts one entry because of a limit elsewhere.
     pub fn give_up(&mut self, key: (u8, u32)) {
         if let Some(held) = self.items.remove(&key) {
             self.partial |= held.incarnation == self.incarnation;
         }
     }
 
-    /// What stands above what the asker has, as much as takes up to `room` bytes; none if there is nothing to say or it can't be
-    /// said. `skip` are keys that are about to be told anew.
+    /// The entries above what the requester has, up to `room` bytes; `None` if there are none, if they are
+    /// incomplete here or if nothing fits. `skip` selects keys that are about to be sent anew.
     pub fn answer(
         &self, now: Micros, ask: &EntryRequest, room: usize, skip: impl Fn(&(u8, u32)) -> bool,
     ) -> Option<EntryBlock> {
         if ask.have >= self.seen || self.partial {
             return None;
         }
-        // Danger: what went without a tombstone may have any counter below: the asker needs to hear it all once more.
+        // An entry that was removed without a tombstone may have any counter below `purged`, so the requester
+        // needs all entries again.
         let swept = if self.purged > ask.have { self.purged } else { 0 };
         let have = match swept {
             0 => ask.have,
@@ -179,7 +184,7 @@
         for (key, held) in due {
             let item = item(now, *key, held, have);
             let Some(rest) = left.checked_sub(encoded_len(&item)) else {
-                // No further than what fits.
+                // The block ends with the last entry that fits.
                 block.to = block.items.last().map(|i| have + i.step)?;
                 break;
             };
@@ -196,17 +201,17 @@
     EntryItem { kind: key.0, id: key.1, step: held.counter.saturating_sub(from), age, value }
 }
 
-/// A member's own entries. What is set gets its counter when it is first sent.
+/// A member's own entries. An entry gets its counter when it is first sent.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LocalEntries {
-    /// Those, `seen` and `top` being the newest counter that was given.
+    /// The entries; `seen` and `top` are the newest counter assigned.
     pub shelf: OwnerEntries,
-    /// What is to be told, and since when.
+    /// The keys of entries to send, and since when they wait.
     pub dirty: BTreeMap<(u8, u32), Micros>,
 }
 
 impl LocalEntries {
-    /// Sets an entry. False if there are too many; then nothing changes.
+    /// Sets or removes an entry. Returns false, and changes nothing, if there are too many.
     pub fn set(&mut self, now: Micros, key: (u8, u32), value: Option<&[u8]>) -> bool {
         let shelf = &mut self.shelf;
         let new = shelf.items.get(&key).is_none_or(|h| h.value.is_none());
@@ -236,7 +241,7 @@
         true
     }
 
-    /// A new life: everything that stands is to be told anew.
+    /// Starts a newer run, in which all live entries are sent anew.
     pub fn adopt_incarnation(&mut self, now: Micros, incarnation: u64) {
         self.shelf.items.retain(|_, h| h.value.is_some());
         for held in self.shelf.items.values_mut() {
@@ -247,13 +252,13 @@
         self.shelf = OwnerEntries { incarnation, items, ..OwnerEntries::default() };
     }
 
-    /// How many bytes it would take to tell all that is new, about.
+    /// About how many bytes all waiting entries take.
     pub fn wanted(&self) -> usize {
         let held = self.dirty.keys().filter_map(|k| self.shelf.items.get(k));
         held.map(|h| 12 + h.value.as_ref().map_or(0, |v| v.len())).sum::<usize>() + 16
     }
 
-    /// The next block of changes, the most urgent first, as much as takes up to `room` bytes: it gives them their counters.
+    /// The next block of changes, the most urgent first, up to `room` bytes; assigns their counters.
     pub fn changes(&mut self, now: Micros, owner: u16, room: usize) -> Option<EntryBlock> {
         let shelf = &mut self.shelf;
         let urgency = |(key, since): (&(u8, u32), &Micros)| i64::from(key.0) - (now - *since).secs() as i64;
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -1,58 +1,60 @@
-//! Who is there. Members have numbers and are fixed; each has lives, the highest of which counts. A life is alive as of the newest
-//! time of its own clock that was heard of, by itself or by others: a stamp is news once, so that talk keeps nobody alive.
+//! Membership. Members are fixed and numbered; each has process runs, of which the one with the highest
+//! incarnation counts. A run is alive as of the newest time on its own clock that was heard, from itself or
+//! through others. Each stamp counts once, so that repeated gossip does not keep a dead member alive.
 
 use crate::api::Micros;
 
-/// An incarnation that is further above the one known is from the future.
+/// An incarnation that is further than this above the known one is rejected as coming from the future.
 pub const MAX_INCARNATION_JUMP: u64 = 65_536;
-/// So far a first incarnation may go.
+/// Highest first incarnation that is accepted.
 pub const MAX_FIRST_INCARNATION: u64 = 1 << 40;
-/// The span over which the min_delays note is looked for, twice.
+/// Length of a window in which the smallest delay is tracked; two windows are kept.
 const MIN_DELAY_WINDOW: Micros = Micros(30_000_000);
-/// Clocks run up to so much apart.
+/// Largest assumed difference between the rates of two clocks.
 const MAX_CLOCK_DRIFT: f64 = 0.01;
-/// Beyond two and a half beats, and five, so much is waited more.
+/// Added to two and a half heartbeat intervals, and once more at five.
 const STATUS_SLACK: Micros = Micros(1_000_000);
 
-/// How a member stands.
+/// The state of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MemberStatus {
-    /// Nothing was ever heard of it.
+    /// Nothing has been heard of it.
     Unknown,
-    /// Alive a short while ago.
+    /// Heard of recently.
     Alive,
-    /// Two and a half of its beats and a second ago.
+    /// Not heard of for two and a half of its heartbeat intervals and one second.
     Suspected,
-    /// Five of its beats and two seconds ago, or it said that it was leaving.
+    /// Not heard of for five of its heartbeat intervals and two seconds, or it announced that it was leaving.
     Down,
 }
 
 /// What is known of a member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
-    /// Its highest life; 0 before anything was heard.
+    /// Its highest incarnation; 0 before anything was heard.
     pub incarnation: u64,
-    /// The newest time on that life's own clock that was heard of, in tenths of a second, from 1.
+    /// The newest time on that run's own clock that was heard of, in tenths of a second, from 1.
     pub stamp: u64,
-    /// When it was alive, at least.
+    /// The latest time at which it is known to have been alive.
     pub last_alive: Option<Micros>,
-    /// When it was last heard itself.
+    /// When a message came directly from it.
     pub last_direct: Option<Micros>,
-    /// When the newest word of the own member's was said that this one is known to have heard of.
+    /// The send time of this process's newest message that the member is known to have heard of.
     pub last_heard_own: Option<Micros>,
-    /// Its beat.
+    /// Its heartbeat interval.
     pub beat_interval: Micros,
-    /// The newest of its notes with asks, on its clock: one that comes twice is answered once.
+    /// Time, on its clock, of its newest message with requests: a duplicate is answered once.
     pub asked: u64,
-    left: Option<Micros>,
+    left_at: Option<Micros>,
     alive_since: Micros,
-    /// Receipt less sending, of the min_delays note of the span before and of this one, and when those came.
+    /// Receive time less send time of the fastest message in the previous and the current window, and when it
+    /// came.
     min_delays: [Option<(i64, Micros)>; 2],
     window_since: Micros,
 }
 
 impl Member {
-    /// One of whom nothing is known, with the beat that is assumed.
+    /// Creates a member of which nothing is known, with an assumed heartbeat interval.
     pub fn new(now: Micros, beat_interval: Micros) -> Member {
         Member {
             incarnation: 0,
@@ -62,14 +64,14 @@
             last_heard_own: None,
             beat_interval,
             asked: 0,
-            left: None,
+            left_at: None,
             alive_since: now,
             min_delays: [None; 2],
             window_since: now,
         }
     }
 
-    /// Whether this incarnation is above all that can be.
+    /// Whether this incarnation is too high to be real.
     pub fn is_future(&self, incarnation: u64) -> bool {
         let most = if self.incarnation == 0 {
             MAX_FIRST_INCARNATION
@@ -79,40 +81,43 @@
         incarnation > most
     }
 
-    /// A higher life: true, and all of the former one's times are gone.
+    /// Starts a newer run and resets the times of the previous one; returns false if the incarnation is not
+    /// higher.
     pub fn start_run(&mut self, incarnation: u64) -> bool {
         if incarnation <= self.incarnation {
             return false;
         }
         (self.incarnation, self.stamp, self.asked) = (incarnation, 0, 0);
-        (self.left, self.min_delays) = (None, [None; 2]);
+        (self.left_at, self.min_delays) = (None, [None; 2]);
         true
     }
 
-    /// DirectUpdate that this life was alive then (not after `now`). It is news only with a stamp above the known one.
+    /// Records that this run was alive at `when` (at most `now`). Only a stamp above the known one counts.
     pub fn mark_alive(&mut self, now: Micros, stamp: u64, when: Micros) {
         if stamp <= self.stamp {
             return;
         }
-        let was = self.status(now);
+        let status_before = self.status(now);
         self.stamp = stamp;
         self.last_alive = self.last_alive.max(Some(when.min(now)));
-        self.left = None;
-        if was != MemberStatus::Alive && self.status(now) == MemberStatus::Alive {
+        self.left_at = None;
+        if status_before != MemberStatus::Alive && self.status(now) == MemberStatus::Alive {
             self.alive_since = now;
         }
     }
 
-    /// It said that it was leaving.
+    /// Records that the member announced its departure.
     pub fn mark_left(&mut self, now: Micros) {
-        self.left = Some(now);
+        self.left_at = Some(now);
     }
 
-    /// A note of this life's came in that it sent at `at` ms on its own clock: how much longer it took than the min_delays lately.
+    /// Takes in a message that this run sent at `at` ms on its own clock; returns how much longer it took
+    /// than the fastest recent one.
     pub fn extra_delay(&mut self, now: Micros, at: u64) -> Micros {
         let took = now.0 as i64 - at.saturating_mul(1_000).min(i64::MAX as u64) as i64;
         if now - self.window_since > MIN_DELAY_WINDOW {
-            // Danger: a machine that slept has another offset for ever; only what was heard lately may be the measure.
+            // A machine that was suspended has another clock offset from then on, so only recent messages may
+            // serve as the base.
             let stale = now - self.window_since > MIN_DELAY_WINDOW + MIN_DELAY_WINDOW;
             self.min_delays = [if stale { None } else { self.min_delays[1] }, None];
             self.window_since = now;
@@ -129,27 +134,27 @@
         self.beat_interval.scale(2.5) + STATUS_SLACK
     }
 
-    /// How it stands.
+    /// The member's state.
     pub fn status(&self, now: Micros) -> MemberStatus {
         self.status_since(now).0
     }
 
-    /// How it stands, and since when. `Never` counts from the start.
+    /// The member's state and since when. `Unknown` counts from the creation of this record.
     pub fn status_since(&self, now: Micros) -> (MemberStatus, Micros) {
         let Some(alive) = self.last_alive else { return (MemberStatus::Unknown, self.alive_since) };
         let suspect = alive + self.suspect_after();
-        let away = suspect + self.suspect_after();
-        match self.left {
-            Some(left) => (MemberStatus::Down, left),
-            None if now >= away => (MemberStatus::Down, away),
+        let down = suspect + self.suspect_after();
+        match self.left_at {
+            Some(left_at) => (MemberStatus::Down, left_at),
+            None if now >= down => (MemberStatus::Down, down),
             None if now >= suspect => (MemberStatus::Suspected, suspect),
             None => (MemberStatus::Alive, self.alive_since),
         }
     }
 
-    /// Whether it has been heard itself lately.
+    /// Whether a message came directly from it recently.
     pub fn is_direct(&self, now: Micros) -> bool {
-        self.left.is_none() && self.last_direct.is_some_and(|d| now < d + self.suspect_after())
+        self.left_at.is_none() && self.last_direct.is_some_and(|d| now < d + self.suspect_after())
     }
 }
 
@@ -160,13 +165,13 @@
     const S: u64 = 1_000_000;
 
     #[test]
-    fn stands_by_its_own_clock_and_talk_keeps_nobody_alive() {
+    fn status_follows_own_stamps_and_repeated_gossip_keeps_nobody_alive() {
         let mut m = Member::new(Micros(5), Micros(2 * S));
         assert_eq!(m.status_since(Micros(S)), (MemberStatus::Unknown, Micros(5)));
         assert!(m.start_run(4) && !m.start_run(4) && !m.start_run(3));
         m.mark_alive(Micros(10 * S), 50, Micros(9 * S));
         assert_eq!(m.status_since(Micros(10 * S)), (MemberStatus::Alive, Micros(10 * S)));
-        // The same stamp again, told with a lower age: not news.
+        // The same stamp with a lower age is not news.
         m.mark_alive(Micros(14 * S), 50, Micros(14 * S));
         assert_eq!(m.status_since(Micros(15 * S)), (MemberStatus::Suspected, Micros(15 * S)));
         assert_eq!(m.status_since(Micros(22 * S)), (MemberStatus::Down, Micros(21 * S)));
@@ -182,7 +187,7 @@
     }
 
     #[test]
-    fn a_late_note_is_known_by_its_clock_and_drift_is_not_lateness() {
+    fn late_message_is_detected_by_its_clock_and_drift_is_not_lateness() {
         let mut m = Member::new(Micros(0), Micros(2 * S));
         m.start_run(1);
         // Its clock is 1 % slow: after an hour it is 36 s behind.
@@ -192,7 +197,7 @@
         }
         let late = m.extra_delay(Micros(3_600 * S + 8 * S), 3_564_000);
         assert!((7.9..8.1).contains(&late.secs()), "{late:?}");
-        // It slept for a minute: late at first, not for ever.
+        // It was suspended for a minute: its messages count as late at first, but not for ever.
         let at = |s: u64| (s as f64 * 990.0) as u64 - 60_000;
         for s in (3_602..3_700).step_by(2) {
             m.extra_delay(Micros(s * S), at(s));
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -1,9 +1,12 @@
-//! What couriers tell one another: who is there, and small versioned entries that reach everyone who lacks them, over datagrams that
-//! may be lost, doubled, late, out of order or one-way, at a price that is known beforehand. No I/O, no clock, no threads:
-//! datagrams and time go in, datagrams come out. `docs/design/peers.md` says why it is cut so.
+//! Gossip between couriers: membership, and small versioned entries that reach every member that lacks them,
+//! over datagrams that may be lost, duplicated, delayed, reordered or delivered in one direction only.
+//! Traffic stays within a fixed budget. This module does no I/O, reads no clock and starts no threads:
+//! datagrams and the time go in, datagrams come out. `docs/design/peers.md` gives the reasons for the design.
 //!
-//! **Bounds.** [`MAX_MEMBERS`] members; by owner [`entries::MAX_ENTRIES_PER_OWNER`] entries and [`entries::MAX_TOMBSTONES_PER_OWNER`] dropped ones; [`Config::max_peer_entries`] in all; one
-//! chase by owner; [`MAX_QUEUED_ANSWERS`] asks waiting for an answer. What is sent: see [`budget`].
+//! **Bounds.** At most [`MAX_MEMBERS`] members; per owner [`entries::MAX_ENTRIES_PER_OWNER`] entries and
+//! [`entries::MAX_TOMBSTONES_PER_OWNER`] tombstones; [`Config::max_peer_entries`] entries of other members in
+//! total; one pending repair per owner; [`MAX_QUEUED_ANSWERS`] queued requests. See [`budget`] for the bounds
+//! on traffic.
 
 pub mod budget;
 pub mod codec;
@@ -32,37 +35,39 @@
 pub use membership::MemberStatus;
 pub use view::{Counts, MemberView, PeerEntry, Snapshot};
 
-/// There are no more members.
+/// Most members of a fleet.
 pub const MAX_MEMBERS: usize = 1_024;
-/// So many asks wait for an answer at most.
+/// Most entry requests that wait for an answer.
 pub const MAX_QUEUED_ANSWERS: usize = 256;
-/// A beat takes so much at most where the budget has nothing for more: a head, one entry of full length, one piece of news.
+/// Bytes that a heartbeat may take even when the budget has nothing left: the header, one entry of full
+/// length and one digest.
 pub const MIN_BEAT_BYTES: usize = 112;
-/// Pieces of news of others in a beat.
+/// Most digests of other members in a heartbeat.
 const MAX_DIGESTS_PER_BEAT: usize = 6;
-/// What is out of order often comes by itself: an ask waits for so long, and up to four times this more.
+/// Out-of-order datagrams often arrive on their own, so the first request for missing entries waits this long
+/// plus a random time of up to four times as long.
 const FIRST_REQUEST_DELAY: Micros = Micros(50_000);
-/// The second ask comes so much after the first, and each further one after twice as long.
+/// Time from the first request to the second; it doubles with each further one.
 const RETRY_DELAY: Micros = Micros(300_000);
-/// But never after longer than this.
+/// Longest time between two requests.
 const MAX_RETRY_DELAY: Micros = Micros(2_000_000);
-/// A note that took so much longer than the quickest is counted as late.
+/// A message that took this much longer than the fastest recent one is counted as late.
 const LATE_AFTER: Micros = Micros(1_000_000);
-/// No member is waited for by a longer beat, in tenths of a second.
+/// Longest heartbeat interval that is accepted from a member, in tenths of a second.
 const MAX_BEAT_TENTHS: u16 = 3_000;
-/// No life is older, in milliseconds.
+/// Oldest process run that is accepted, in milliseconds.
 const MAX_RUN_AGE_MS: u64 = 1 << 45;
 
-/// Whom a datagram is for.
+/// The recipients of a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Recipient {
-    /// This member.
+    /// The member with this number.
     One(u16),
     /// Every other member.
     All,
 }
 
-/// Something is lacking of an owner.
+/// A pending repair: entries of one owner are missing.
 #[derive(Debug, Clone, PartialEq)]
 struct Chase {
     due: Micros,
@@ -71,7 +76,7 @@
     teller: Option<u16>,
 }
 
-/// One member's view of the fleet and what it says to it.
+/// One member's view of the fleet, and the entries that it publishes.
 #[derive(Debug, Clone)]
 pub struct Peers {
     config: Config,
@@ -87,13 +92,13 @@
     beat: Micros,
     beat_at: Micros,
     chases: BTreeMap<u16, Chase>,
-    /// By asker and owner.
+    /// Requests that wait for an answer, by requester and owner.
     answers: BTreeMap<(u16, u16), EntryRequest>,
-    /// The asker that was answered last.
+    /// The requester that was answered last.
     answered: u16,
-    /// Former lives that are to be told so.
+    /// Members that still send in a previous run and have to be told of the newer one.
     tell: BTreeSet<u16>,
-    /// Owners of whom a former life's entries still stand.
+    /// Owners that still have entries from a previous run.
     fading: BTreeSet<u16>,
     held: usize,
     repairs_next: bool,
@@ -103,7 +108,8 @@
 }
 
 impl Peers {
-    /// Member `me` of `n` (numbers from 0), in the life with this incarnation, which begins now.
+    /// Creates member `me` of `n` (numbered from 0) in a process run with this incarnation that starts at
+    /// `now`.
     pub fn new(config: Config, now: Micros, me: u16, n: usize, incarnation: u64, seed: u64) -> Peers {
         let config = Config {
             max_datagram_bytes: config.max_datagram_bytes.clamp(160, codec::MAX_DATAGRAM_BYTES),
@@ -140,7 +146,7 @@
         peers
     }
 
-    /// The fleet has so many members from now on, [`MAX_MEMBERS`] at most. The budget begins anew, with nothing saved up.
+    /// Sets the number of members, at most [`MAX_MEMBERS`]. The budget restarts empty.
     pub fn resize(&mut self, now: Micros, n: usize) {
         let n = n.clamp(usize::from(self.me) + 1, MAX_MEMBERS.max(usize::from(self.me) + 1));
         let others = (n - 1) as f64;
@@ -157,8 +163,8 @@
         let (notes, bytes) = ((notes, (2.0 * notes).max(others)), (bytes, (2.0 * bytes).max(full)));
         self.budget = Budget::new(now, notes, bytes, self.config.bytes_per_message);
         self.start = SlowStart::new(beats);
-        self.budget.pace(self.start.rate(bytes.0));
-        // Danger: members that start together must not speak together.
+        self.budget.set_byte_rate(self.start.rate(bytes.0));
+        // A random phase keeps members that start together from sending together.
         self.beat_at = now + self.beat.scale(self.random());
         let gone = |o: &u16| usize::from(*o) < n;
         self.chases.retain(|o, _| gone(o));
@@ -172,7 +178,7 @@
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// A datagram came in; `from` is the member with the address that it came from, where that is known.
+    /// Takes in a datagram. `from` is the member whose address it came from, if known.
     pub fn receive(&mut self, now: Micros, from: Option<u16>, bytes: &[u8]) -> Result<(), Refusal> {
         let result =
             codec::decode(self.config.cluster, bytes).and_then(|note| self.receive_message(now, from, note));
@@ -199,7 +205,8 @@
             return Err(Refusal::Unknown);
         }
         if !self.life(now, from, note.incarnation, note.top, note.at)? {
-            // One of us telling it is enough; if none does, it speaks again.
+            // Each member that notices replies only with a probability, so that about four do; if none does,
+            // the old run sends again.
             if self.random() * (self.members.len() as f64) < 4.0 {
                 self.tell.insert(from);
             }
@@ -222,7 +229,7 @@
         for block in &note.blocks {
             self.block(now, late, block);
         }
-        // Danger: what was said to a former life of this member, or answers it, is nothing to this one.
+        // Direct updates and acknowledgements for a previous run of this member do not apply to this run.
         if let Some(private) = note.private.as_ref().filter(|p| p.to_life == self.incarnation) {
             self.counts.parts_refused += self.private.heard(now, from, note.incarnation, late, private);
         }
@@ -237,7 +244,7 @@
         Ok(())
     }
 
-    /// Something is said of a member's life: false if that life is over.
+    /// Registers the run that a message names for `owner`; returns false if that run has been replaced.
     fn life(
         &mut self, now: Micros, owner: u16, incarnation: u64, top: u64, at: u64,
     ) -> Result<bool, Refusal> {
@@ -260,10 +267,12 @@
         Ok(incarnation == self.members[i].incarnation)
     }
 
-    /// Somebody speaks of this member: a higher life, or numbers that this one never gave, mean that this one is not the last.
+    /// Checks what others report of this member: a higher incarnation, or counters that this run never
+    /// assigned, mean that another run has replaced it.
     fn of_me(&mut self, incarnation: u64, top: u64) {
         let own = self.incarnation;
-        // Danger: what nobody can have reached would silence this member, and no number above it would be believed.
+        // Believing an unreachable incarnation would silence this member for good, since no higher number
+        // would be accepted.
         if incarnation > own.saturating_add(membership::MAX_INCARNATION_JUMP) {
             return;
         }
@@ -274,7 +283,8 @@
 
     fn top(&mut self, now: Micros, late: Micros, teller: u16, top: &MemberDigest) {
         if top.owner == self.me {
-            // The own stamp comes back: so far the teller has heard of this member, by whichever way.
+            // The member's own stamp comes back: the teller has heard of this member up to that time,
+            // directly or through others.
             if top.incarnation == self.incarnation {
                 let when = self.born + Micros(top.stamp.saturating_sub(1).saturating_mul(100_000));
                 let member = &mut self.members[usize::from(teller)];
@@ -318,7 +328,8 @@
         }
     }
 
-    /// Gives up a part of what is held, so that this is seldom done: the least urgent kinds, of those the oldest.
+    /// Evicts entries of the least urgent kinds, the oldest first, and somewhat more than needed so that this
+    /// runs seldom.
     fn make_room(&mut self) {
         let all = self.shelves.iter().enumerate().flat_map(|(i, s)| s.items.iter().map(move |e| (i, e)));
         let mut all: Vec<_> = all.map(|(i, (k, h))| (std::cmp::Reverse(k.0), h.set_at, i, *k)).collect();
@@ -331,7 +342,8 @@
         }
     }
 
-    /// The newest counter of an owner was told by `teller`: what is lacking is chased.
+    /// Notes that `teller` announced the owner's newest counter and schedules a repair if entries are
+    /// missing.
     fn told(&mut self, now: Micros, owner: u16, top: u64, teller: u16) {
         let shelf = &mut self.shelves[usize::from(owner)];
         let more = top > shelf.seen;
@@ -358,7 +370,7 @@
             _ => return,
         };
         let (owner, incarnation) = (ask.owner, shelf.incarnation);
-        // An asker that knows a former life only has nothing of this one.
+        // A requester that knows only a previous run has no entries of this one.
         let ask = match ask.incarnation.cmp(&incarnation) {
             std::cmp::Ordering::Less => EntryRequest { owner, incarnation, have: 0, sweep: (0, 0) },
             std::cmp::Ordering::Equal => *ask,
--- a/src/peers/payload.rs
+++ b/src/peers/payload.rs
@@ -1,72 +1,74 @@
-//! What rides on the ground: budgets, counts, judgements, policies, learnt times. Each hears others' entries and sets this courier's
-//! own, on the control thread alone; traffic reads what it publishes and never waits for it.
+//! Gossip payloads: rate limits, counters, shared health, policies, measured latencies. Each reads the
+//! entries of other couriers and sets this courier's own, on the control thread only; traffic reads what a
+//! payload publishes and never waits for it.
 
 use super::Peers;
 use crate::api::Micros;
 use std::collections::BTreeMap;
 
-/// Kinds of entries, one rider each; a kind that is not known is carried on and read by nobody.
+/// Kinds of entries, one payload each. Entries of an unknown kind are passed on but not read.
 pub mod kinds {
-    /// What a courier wants of a limit.
+    /// The capacity that a courier needs of a limit.
     pub const DEMAND: u8 = 1;
-    /// What it lends of its own share.
+    /// The part of its own share that a courier lends.
     pub const LOAN: u8 = 2;
-    /// The newest turn of loans that it took.
+    /// The newest loan that a courier has received.
     pub const LOAN_ACK: u8 = 3;
-    /// Its counters.
+    /// A courier's counters.
     pub const COUNTERS: u8 = 4;
-    /// What it saw of an endpoint.
+    /// A courier's observations of an endpoint.
     pub const EVIDENCE: u8 = 5;
-    /// How fast others answer its questions.
+    /// How fast other couriers answer its queries.
     pub const LATENCY: u8 = 6;
-    /// What it holds, by channel or kind of question.
+    /// What a courier holds, by channel or kind of query.
     pub const HELD_MESSAGES: u8 = 7;
-    /// Retention: facts of the book, what is honoured, rounds of hearing.
+    /// Retention: facts of the history's index, what is honoured, and acknowledgement rounds.
     pub const RETENTION: u8 = 8;
     /// Replay orders: claims and stops.
     pub const REPLAY: u8 = 9;
 }
 
-/// One matter that couriers share.
+/// One subject that couriers share over gossip.
 pub trait GossipPayload: Send {
-    /// Takes in what others have said since and sets what this courier entries itself. Returns the latest moment at which it wants
-    /// to be called again; it is called after each note that was taken in, too.
+    /// Reads what others have published since the last call and sets this courier's own entries. Returns the
+    /// latest time of the next call; it is also called after each message that was taken in.
     fn tick(&mut self, now: Micros, peers: &mut Peers) -> Micros;
 
-    /// What it believes and since when, for operators: an object with ages in milliseconds.
+    /// Its state, for operators: an object with ages in milliseconds.
     fn figures(&self, now: Micros) -> serde_json::Value;
 }
 
-/// All that this courier entries of one kind, so that only what changes is set.
+/// This courier's entries of one kind, of which only changes are set.
 #[derive(Debug)]
 pub struct PublishedEntries {
     kind: u8,
-    /// By number, with when it was set.
+    /// By id, with the time when the value was set.
     published: BTreeMap<u32, (Vec<u8>, Micros)>,
 }
 
 impl PublishedEntries {
-    /// Nothing yet, of one of [`kinds`].
+    /// Starts empty, for one of [`kinds`].
     pub fn new(kind: u8) -> PublishedEntries {
         PublishedEntries { kind, published: BTreeMap::new() }
     }
 
-    /// What is said under a number, and since when.
+    /// The value published under an id, and since when.
     pub fn value(&self, id: u32) -> Option<(&[u8], Micros)> {
         self.published.get(&id).map(|(value, at)| (value.as_slice(), *at))
     }
 
-    /// What is said from this number on.
+    /// The entries published from this id on.
     pub fn from(&self, first: u32) -> impl Iterator<Item = (u32, &[u8])> {
         self.published.range(first..).map(|(id, (value, _))| (*id, value.as_slice()))
     }
 
-    /// From now on this and nothing else is said.
+    /// Publishes exactly these entries and removes all others of this kind.
     pub fn publish(&mut self, now: Micros, peers: &mut Peers, entries: BTreeMap<u32, Vec<u8>>) {
         for id in self.published.keys().filter(|id| !entries.contains_key(id)) {
             peers.remove(now, self.kind, *id);
         }
-        // Danger: what finds no room among a courier's entries must be said once there is some.
+        // An entry that was refused because the courier has too many is left out, so that it is set as soon
+        // as there is capacity.
         let mut before = std::mem::take(&mut self.published);
         self.published = entries
             .into_iter()
--- a/src/peers/send.rs
+++ b/src/peers/send.rs
@@ -1,18 +1,18 @@
-//! MessageKind is sent when.
+//! Schedules what is sent.
 
-use super::budget::Aside;
+use super::budget::Reserve;
 use super::codec::{self, encoded_len, EntryRequest, GossipMessage, MemberDigest, HEADER_BYTES};
 use super::{
     Chase, MemberStatus, Micros, Peers, Recipient, MAX_DIGESTS_PER_BEAT, MAX_RETRY_DELAY, MIN_BEAT_BYTES,
 };
 use rand_core::RngCore;
 
-/// In one round no more datagrams go out.
+/// Most datagrams that one tick sends besides the heartbeat.
 const MAX_DATAGRAMS_PER_TICK: usize = 32;
-/// A note to one is sent only with so much room, so that an entry of full length fits.
+/// A message to one member is sent only with this much budget, so that an entry of full length fits.
 const MIN_UNICAST_BYTES: usize = 128;
 
-/// Which count a note belongs to.
+/// The counter that a message belongs to.
 #[derive(Clone, Copy)]
 enum MessageKind {
     Beat,
@@ -23,12 +23,13 @@
 }
 
 impl Peers {
-    /// MessageKind is to be sent now. Call it when [`Peers::next_at`] says so, and after something was set or heard.
+    /// Returns the datagrams to send now. Call it at [`Peers::next_at`], and after something was set or
+    /// received.
     pub fn tick(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         let mut out = vec![];
-        self.budget.on(now);
+        self.budget.refill(now);
         self.fade(now);
-        // Danger: a life that another has followed must not speak in its name.
+        // A run that another has replaced must not send in the member's name.
         if self.superseded.is_some() || self.others() == 0 {
             return out;
         }
@@ -36,7 +37,7 @@
             self.beat(now, &mut out);
         }
         while out.len() < MAX_DATAGRAMS_PER_TICK {
-            // By turns, so that neither many changes nor many asks starve the other.
+            // Changes and repairs alternate, so that neither starves the other.
             let first = self.repairs_next;
             self.repairs_next = !first;
             let went = match first {
@@ -57,10 +58,10 @@
             return fading.unwrap_or(Micros(u64::MAX));
         }
         let change = self.own.dirty.values().min().map(|since| {
-            let ready = self.budget.ready_at(self.others(), self.change_least(), self.aside());
+            let ready = self.budget.ready_at(self.others(), self.change_least(), self.reserve());
             ready.max(*since + self.config.batch_delay)
         });
-        let one = || self.budget.ready_at(1, MIN_UNICAST_BYTES, self.aside());
+        let one = || self.budget.ready_at(1, MIN_UNICAST_BYTES, self.reserve());
         let chase = self.chases.values().map(|c| c.due).min().map(|due| due.max(one()));
         let answer = (!self.answers.is_empty() || !self.tell.is_empty()).then(one);
         let private = self.private.due().map(|due| due.max(one()));
@@ -68,7 +69,7 @@
         all.into_iter().flatten().min().unwrap_or(self.beat_at)
     }
 
-    /// One last note, to all: this member is leaving. Not where another life takes over.
+    /// A last message to all that this member is leaving; none if another run has replaced this one.
     pub fn leave(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         let mut out = vec![];
         if self.superseded.is_none() && self.others() > 0 {
@@ -82,9 +83,9 @@
         self.members.len() - 1
     }
 
-    fn aside(&self) -> Aside {
+    fn reserve(&self) -> Reserve {
         let others = self.others() as f64;
-        Aside { at: self.beat_at, notes: others, bytes: others * self.start.aside() as f64 }
+        Reserve { at: self.beat_at, notes: others, bytes: others * self.start.reserved_bytes() as f64 }
     }
 
     fn fade(&mut self, now: Micros) {
@@ -101,7 +102,7 @@
     }
 
     fn head(&self, now: Micros) -> GossipMessage {
-        // The next beat is at most a tenth later than the usual.
+        // A heartbeat is at most a tenth later than its usual interval.
         let next = (self.beat.0 / 90_000).clamp(1, u64::from(u16::MAX)) as u16;
         let (from, incarnation, top) = (self.me, self.incarnation, self.own.shelf.top);
         GossipMessage {
@@ -129,26 +130,27 @@
         out.push((to, bytes));
     }
 
-    /// Room left beside this note, 2 bytes kept back for counters that grow.
+    /// Bytes left in this message, less 2 for list lengths that may grow.
     fn left(&self, note: &GossipMessage, room: usize) -> usize {
         room.saturating_sub(HEADER_BYTES + encoded_len(note) + 2)
     }
 
     fn beat(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) {
-        let none = Aside { at: now, notes: 0.0, bytes: 0.0 };
+        let none = Reserve { at: now, notes: 0.0, bytes: 0.0 };
         let mut note = self.head(now);
         let known: Vec<u16> = (0..self.members.len() as u16).filter(|o| self.known(*o)).collect();
         let first = if known.is_empty() { 0 } else { self.rng.next_u32() as usize % known.len() };
-        // A stride that is random, too, so that the same do not always go together.
+        // The stride is random too, so that the same members are not always sent together.
         let stride = if known.len() <= MAX_DIGESTS_PER_BEAT { 1 } else { known.len() / MAX_DIGESTS_PER_BEAT };
         let drawn =
             (0..MAX_DIGESTS_PER_BEAT.min(known.len())).map(|i| known[(first + i * stride) % known.len()]);
         let news: Vec<MemberDigest> = drawn.map(|owner| self.news(now, owner)).collect();
         let quiet = HEADER_BYTES + encoded_len(&note) + news.iter().map(encoded_len).sum::<usize>() + 2;
-        let least = self.start.beat(quiet, !(self.own.dirty.is_empty() && self.chases.is_empty()));
+        let least = self.start.min_beat_bytes(quiet, !(self.own.dirty.is_empty() && self.chases.is_empty()));
         let beats = self.others() as f64 / self.beat.secs();
-        self.budget.pace(self.start.rate(1.5 * beats * MIN_BEAT_BYTES as f64));
-        let room = self.budget.room(self.others(), none).clamp(least, self.config.max_datagram_bytes);
+        self.budget.set_byte_rate(self.start.rate(1.5 * beats * MIN_BEAT_BYTES as f64));
+        let room =
+            self.budget.available_bytes(self.others(), none).clamp(least, self.config.max_datagram_bytes);
         let for_news = if self.others() > 1 { encoded_len(&self.news(now, self.me)) + 8 } else { 0 };
         let left = self.left(&note, room).saturating_sub(for_news);
         note.blocks.extend(self.own.changes(now, self.me, left));
@@ -169,7 +171,7 @@
     fn news(&self, now: Micros, owner: u16) -> MemberDigest {
         let (member, shelf) = (&self.members[usize::from(owner)], &self.shelves[usize::from(owner)]);
         let age = (now - member.last_alive.unwrap_or(now)).0 / 100_000;
-        // MessageKind can't be passed on is not announced: it would be asked for.
+        // Entries that can't be passed on are not announced: they would be requested.
         let top = if shelf.partial { 0 } else { shelf.seen };
         let age = age.min(u64::from(u32::MAX)) as u32;
         MemberDigest { owner, incarnation: member.incarnation, top, stamp: member.stamp, age }
@@ -181,7 +183,8 @@
 
     fn change(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let Some(since) = self.own.dirty.values().min() else { return false };
-        let room = self.budget.room(self.others(), self.aside()).min(self.config.max_datagram_bytes);
+        let room =
+            self.budget.available_bytes(self.others(), self.reserve()).min(self.config.max_datagram_bytes);
         if now < *since + self.config.batch_delay || room < self.change_least() {
             return false;
         }
@@ -193,9 +196,9 @@
         true
     }
 
-    /// One note of those that mend what was lost.
+    /// Sends one message that repairs losses.
     fn repair(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
-        let room = self.budget.room(1, self.aside()).min(self.config.max_datagram_bytes);
+        let room = self.budget.available_bytes(1, self.reserve()).min(self.config.max_datagram_bytes);
         room >= MIN_UNICAST_BYTES
             && (self.say_old(now, out)
                 || self.speak(now, room, out)
@@ -203,7 +206,7 @@
                 || self.answer(now, room, out))
     }
 
-    /// MessageKind is for one member alone.
+    /// Sends direct updates to one member.
     fn speak(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let members = &self.members;
         let there = |to: u16| members[usize::from(to)].status(now) == MemberStatus::Alive;
@@ -227,7 +230,8 @@
         true
     }
 
-    /// Whom to ask: the owner if it is heard, and whoever told of something newer, by turns.
+    /// Whom to ask: the owner if it is heard directly, alternating with a member that announced something
+    /// newer.
     fn holder(&self, now: Micros, owner: u16, chase: &Chase) -> u16 {
         let near = self.members[usize::from(owner)].is_direct(now);
         let there = |p: &u16| self.members[usize::from(*p)].status(now) == MemberStatus::Alive;
@@ -260,7 +264,7 @@
     }
 
     fn answer(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
-        // The next asker after the last one, so that each has its turn.
+        // Round-robin over the requesters.
         let after = self.answered.saturating_add(1);
         let mut next = self.answers.range((after, 0)..).chain(&self.answers);
         let Some((&(to, _), _)) = next.next() else { return false };
@@ -288,7 +292,8 @@
                     self.answers.remove(&(to, owner));
                     note.blocks.push(block);
                 }
-                // No room left beside others: in the next note. Nothing fits into an empty one: there is nothing to say.
+                // If the block doesn't fit beside others, it goes into the next message. If it doesn't fit an
+                // empty one, there is nothing to answer.
                 None if !note.blocks.is_empty() => break,
                 None => {
                     self.answers.remove(&(to, owner));
--- a/src/peers/view.rs
+++ b/src/peers/view.rs
@@ -1,95 +1,98 @@
-//! What is set here, and what others say, with its age and how much of the fleet it covers.
+//! The interface to payloads and readers: setting entries, reading those of others, with their age and the
+//! coverage of the fleet.
 
 use super::membership::Member;
 use super::{MemberStatus, Micros, Peers};
 use std::sync::Arc;
 
-/// What happened, in figures since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Counts {
-    /// Datagrams that were believed.
+    /// Datagrams accepted.
     pub heard: u64,
-    /// Of those, how many took a second longer than the quickest lately.
+    /// Accepted datagrams that took over a second longer than the fastest recent one.
     pub late: u64,
-    /// Datagrams that were not believed, by [`super::Refusal::ALL`].
+    /// Datagrams refused, by [`super::Refusal::ALL`].
     pub refused: [u64; 6],
-    /// Parts of believed datagrams that were not: of former lives, of no member, from the future.
+    /// Refused parts of accepted datagrams: of previous runs, of unknown members, from the future.
     pub parts_refused: u64,
-    /// Notes sent, each receiver counted.
+    /// Messages sent, counting each receiver.
     pub notes: u64,
     /// Bytes sent, over all receivers.
     pub bytes: u64,
-    /// Beats, changes, asks, answers and words for one alone sent.
+    /// Heartbeats, changes, requests, answers and direct messages sent.
     pub sent: [u64; 5],
-    /// The bytes of each of these kinds, over all receivers.
+    /// Bytes by these kinds, over all receivers.
     pub sent_bytes: [u64; 5],
-    /// Entries of others that were given up for want of room.
+    /// Entries of other members that were evicted because of the limit.
     pub given_up: u64,
-    /// Asks that found no place.
+    /// Requests dropped because the queue was full.
     pub unanswered: u64,
 }
 
-/// What another member says.
+/// An entry of another member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerEntry {
-    /// Who.
+    /// Its owner's number.
     pub owner: u16,
-    /// Of this kind.
+    /// Its kind.
     pub kind: u8,
-    /// Which of its kind.
+    /// Its id within its kind.
     pub id: u32,
-    /// In which life.
+    /// The incarnation of the run that set it.
     pub incarnation: u64,
-    /// With which counter of that life: the pair tells versions apart.
+    /// Its counter in that run: the pair distinguishes versions.
     pub counter: u64,
     /// The value.
     pub value: Arc<[u8]>,
-    /// When it was set, on this member's clock; short by the least time that notes take on the way.
+    /// When it was set, on this member's clock; too late by the smallest delay of messages on the way.
     pub set_at: Micros,
-    /// That life has been followed by another that has not said anything of this yet.
+    /// The run that set it has been replaced by one that has not set this entry yet.
     pub from_previous_run: bool,
 }
 
-/// How a member is seen.
+/// What is known of a member.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MemberView {
-    /// How it stands.
+    /// Its state.
     pub standing: MemberStatus,
-    /// Since when.
+    /// Since when it has this state.
     pub since: Micros,
-    /// Its life; 0 if nothing was ever heard.
+    /// The incarnation of its run; 0 if nothing was ever heard.
     pub incarnation: u64,
-    /// When it was alive, at least, by its own word or others'.
+    /// The latest time at which it is known to have been alive, from itself or through others.
     pub last_alive: Option<Micros>,
-    /// When it was last heard itself.
+    /// When a message came directly from it.
     pub last_direct: Option<Micros>,
-    /// The newest word of this member's that it is known to have heard of, by whichever way, was said then. With many members
-    /// it seldom says; that nobody has for several beats means that this member is not heard.
+    /// The send time of this member's newest message that the other is known to have heard of, directly or
+    /// through others. In a large fleet it reports this seldom; if no member has for several heartbeats, this
+    /// member is not being heard.
     pub last_heard_own: Option<Micros>,
-    /// Nothing that it has told is lacking here.
+    /// No entry that it has announced is missing here.
     pub whole: bool,
 }
 
-/// All of it at one moment, for readers elsewhere.
+/// The gossip state at one time, for readers on other threads.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Snapshot {
-    /// When it was taken_at.
+    /// When the snapshot was taken.
     pub taken_at: Micros,
-    /// The own number.
+    /// This member's number.
     pub me: u16,
-    /// By number; the own one is here, with nothing lacking.
+    /// By number; this member itself is alive and complete.
     pub members: Vec<MemberView>,
-    /// By owner, kind and number; the own ones not.
+    /// By owner, kind and id, without this member's own.
     pub entries: Vec<PeerEntry>,
-    /// Another life has taken over this member: what this one sets reaches nobody.
+    /// Another run has replaced this one: entries set here reach nobody.
     pub superseded: Option<u64>,
-    /// The figures.
+    /// The counters.
     pub counts: Counts,
 }
 
 impl Snapshot {
-    /// The share of the fleet that was alive no longer than `within` before `now`, this member included, weighed by `weight`.
-    /// Danger: `now` is the reader's, so that a view that is no longer renewed covers less and less.
+    /// The share of the fleet, weighted by `weight`, that was alive within `within` before `now`, this member
+    /// included. `now` is the reader's clock, so that a snapshot that is no longer renewed covers less and
+    /// less.
     pub fn coverage(&self, now: Micros, within: Micros, weight: impl Fn(u16) -> f64) -> f64 {
         let (mut all, mut there) = (0.0, 0.0);
         for (i, seen) in self.members.iter().enumerate() {
@@ -108,32 +111,34 @@
         }
     }
 
-    /// When the newest word of this member's was said that any other is known to have heard of; none while nobody is.
+    /// The send time of this member's newest message that any other member is known to have heard of, if any.
     pub fn heard_until(&self) -> Option<Micros> {
         let others = self.members.iter().enumerate().filter(|(i, _)| *i != usize::from(self.me));
         others.filter_map(|(_, m)| m.last_heard_own).max()
     }
 
-    /// What others say of this kind.
+    /// The entries of this kind.
     pub fn kind(&self, kind: u8) -> impl Iterator<Item = &PeerEntry> {
         self.entries.iter().filter(move |s| s.kind == kind)
     }
 }
 
 impl Peers {
-    /// Says something to all: it replaces what was said with this kind and number. The lower the kind, the more urgent. False
-    /// if the value is longer than [`super::codec::MAX_VALUE_BYTES`] or there are [`super::entries::MAX_ENTRIES_PER_OWNER`] others; then nothing changes.
+    /// Publishes an entry to all members; it replaces the one with this kind and id. Lower kinds are more
+    /// urgent. Returns false, and changes nothing, if the value is longer than
+    /// [`super::codec::MAX_VALUE_BYTES`] or there are already [`super::entries::MAX_ENTRIES_PER_OWNER`]
+    /// others.
     pub fn set(&mut self, now: Micros, kind: u8, id: u32, value: &[u8]) -> bool {
         value.len() <= super::codec::MAX_VALUE_BYTES && self.own.set(now, (kind, id), Some(value))
     }
 
-    /// Takes back what was said.
+    /// Removes an entry.
     pub fn remove(&mut self, now: Micros, kind: u8, id: u32) {
         self.own.set(now, (kind, id), None);
     }
 
-    /// Says something to one member alone, until it is taken_at, at the latest until then: it replaces what was said to it with this kind
-    /// and number. False if the value is too long or there is no such member.
+    /// Sends an update to one member alone until it is acknowledged, at most until `until`; it replaces the
+    /// one to it with this kind and id. Returns false if the value is too long or there is no such member.
     pub fn send_to(&mut self, now: Micros, to: u16, kind: u8, id: u32, value: &[u8], until: Micros) -> bool {
         let sound = value.len() <= super::codec::MAX_VALUE_BYTES
             && to != self.me
@@ -144,30 +149,31 @@
         sound
     }
 
-    /// So many messages were handled: that is what the budget goes by.
+    /// Adds the traffic budget for handled messages.
     pub fn handled(&mut self, messages: u32) {
-        self.budget.handled(messages);
+        self.budget.add_handled(messages);
     }
 
-    /// A higher incarnation than the own one is about, or the own one with numbers that were never given: this life is silent from
-    /// now on. That is right where another took over. Where this process does own the folder, its incarnation came from an older
-    /// copy: claim one above this and go on with [`Peers::adopt_incarnation`].
+    /// The higher incarnation of another run of this member, or the own one if it appeared with counters that
+    /// this run never assigned; this run then sends nothing more. That is right if another process took over.
+    /// If this process does own the data directory, its incarnation came from an older copy: claim one above
+    /// this and continue with [`Peers::adopt_incarnation`].
     pub fn superseded(&self) -> Option<u64> {
         self.superseded
     }
 
-    /// The same process goes on under a higher incarnation, and says everything anew.
+    /// Continues under a higher incarnation and publishes all entries anew.
     pub fn adopt_incarnation(&mut self, now: Micros, incarnation: u64) {
         if incarnation > self.incarnation {
             (self.incarnation, self.born, self.superseded) = (incarnation, now, None);
             self.own.adopt_incarnation(now, incarnation);
             self.answers.retain(|(_, owner), _| *owner != self.me);
-            // What was said in the former life's turns is no answer to this one's.
+            // Sequence numbers of the previous run say nothing about this one.
             self.private = super::direct::DirectUpdates::default();
         }
     }
 
-    /// What others say of this kind, to all or to this member alone, without a copy of the rest.
+    /// Entries of this kind from other members, to all or to this member alone, without copying the others.
     pub fn get(&self, kind: u8) -> impl Iterator<Item = PeerEntry> + '_ {
         let alone = self.private.of(kind).map(move |(owner, id, heard)| PeerEntry {
             owner,
@@ -200,7 +206,7 @@
         })
     }
 
-    /// How each member is seen, by number; the own one is here, with nothing lacking.
+    /// The members by number; this member itself is alive and complete.
     pub fn member_views(&self, now: Micros) -> impl Iterator<Item = MemberView> + '_ {
         self.members.iter().zip(&self.shelves).enumerate().map(move |(i, (member, shelf))| {
             let (standing, since) = member.status_since(now);
@@ -229,7 +235,7 @@
         })
     }
 
-    /// All of it, for readers elsewhere. Values are shared, not copied.
+    /// A snapshot for readers on other threads. Values are shared, not copied.
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         Snapshot {
             taken_at: now,
@@ -241,28 +247,28 @@
         }
     }
 
-    /// The own life.
+    /// The incarnation of this run.
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The own number, and how many members there are.
+    /// This member's number, and the number of members.
     pub fn position(&self) -> (u16, usize) {
         (self.me, self.members.len())
     }
 
-    /// The others that are here.
+    /// The other members that are alive.
     pub fn alive_members(&self, now: Micros) -> impl Iterator<Item = u16> + '_ {
         let others = self.members.iter().enumerate().filter(|(i, _)| *i != usize::from(self.me));
         others.filter(move |(_, m)| m.status(now) == MemberStatus::Alive).map(|(i, _)| i as u16)
     }
 
-    /// The figures so far.
+    /// The counters so far.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// How often this member says that it is there: longer with many members.
+    /// This member's heartbeat interval, which is longer in large fleets.
     pub fn beat_interval(&self) -> Micros {
         self.beat
     }
