--- a/src/peers/codec.rs
+++ b/src/peers/codec.rs
@@ -196,10 +196,10 @@
 }
 
 /// Encodes a message as a datagram; `None` if it were longer than [`MAX_DATAGRAM_BYTES`].
-pub fn encode(cluster: u64, note: &GossipMessage) -> Option<Vec<u8>> {
-    let mut body = postcard::to_allocvec(note).ok()?;
-    let version = if note.private.is_some() { VERSION } else { BASE_VERSION };
-    if let Some(private) = &note.private {
+pub fn encode(cluster: u64, message: &GossipMessage) -> Option<Vec<u8>> {
+    let mut body = postcard::to_allocvec(message).ok()?;
+    let version = if message.private.is_some() { VERSION } else { BASE_VERSION };
+    if let Some(private) = &message.private {
         body.extend(postcard::to_allocvec(private).ok()?);
     }
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -228,22 +228,23 @@
     if *version > VERSION {
         return Err(Refusal::Newer);
     }
-    let (mut note, mut rest): (GossipMessage, _) =
+    let (mut message, mut rest): (GossipMessage, _) =
         postcard::take_from_bytes(body).map_err(|_| Refusal::Malformed)?;
     if *version == VERSION {
         let (private, more): (DirectPayload, _) =
             postcard::take_from_bytes(rest).map_err(|_| Refusal::Malformed)?;
-        (note.private, rest) = (Some(private), more);
+        (message.private, rest) = (Some(private), more);
     }
-    let sound = |b: &EntryBlock| b.from <= b.to && b.items.iter().all(|i| within(b, i));
-    let fits = note.private.iter().flat_map(|p| &p.words).all(|word| word.value.len() <= MAX_VALUE_BYTES);
-    if !rest.is_empty() || !fits || !note.blocks.iter().all(sound) {
+    let is_valid = |b: &EntryBlock| b.from <= b.to && b.items.iter().all(|i| is_valid_item(b, i));
+    let fits =
+        message.private.iter().flat_map(|p| &p.words).all(|update| update.value.len() <= MAX_VALUE_BYTES);
+    if !rest.is_empty() || !fits || !message.blocks.iter().all(is_valid) {
         return Err(Refusal::Malformed);
     }
-    Ok(note)
+    Ok(message)
 }
 
-fn within(block: &EntryBlock, item: &EntryItem) -> bool {
+fn is_valid_item(block: &EntryBlock, item: &EntryItem) -> bool {
     let fits = item.value.as_ref().is_none_or(|v| v.len() <= MAX_VALUE_BYTES);
     fits && item.step > 0 && item.step <= block.to - block.from
 }
@@ -253,7 +254,7 @@
     use super::*;
     use quickcheck::quickcheck;
 
-    fn note() -> GossipMessage {
+    fn message() -> GossipMessage {
         let item = |step, value| EntryItem { kind: 3, id: 70_000, step, age: 1_200, value };
         let items = vec![item(1, Some(vec![7; MAX_VALUE_BYTES])), item(4, None)];
         GossipMessage {
@@ -270,27 +271,27 @@
     }
 
     #[test]
-    fn what_is_sealed_opens_and_its_size_is_known() {
-        let bytes = encode(77, &note()).unwrap();
-        assert_eq!(decode(77, &bytes), Ok(note()));
-        assert_eq!(bytes.len(), HEADER_BYTES + encoded_len(&note()));
-        let long = GossipMessage { blocks: vec![note().blocks[0].clone(); 4], ..note() };
+    fn encoded_message_decodes_and_its_length_is_known() {
+        let bytes = encode(77, &message()).unwrap();
+        assert_eq!(decode(77, &bytes), Ok(message()));
+        assert_eq!(bytes.len(), HEADER_BYTES + encoded_len(&message()));
+        let long = GossipMessage { blocks: vec![message().blocks[0].clone(); 4], ..message() };
         assert_eq!(encode(77, &long), None);
     }
 
     #[test]
-    fn what_is_for_one_alone_stands_behind_the_note_in_a_version_of_its_own() {
-        let word = |bytes| DirectUpdate { kind: 2, id: 9, turn: 300, age: 5, value: vec![3; bytes] };
+    fn direct_payload_follows_the_message_in_its_own_version() {
+        let update = |bytes| DirectUpdate { kind: 2, id: 9, turn: 300, age: 5, value: vec![3; bytes] };
         let taken = vec![DirectAck { kind: 3, id: 1, turn: 2 }];
         let with = |bytes| GossipMessage {
             blocks: vec![],
-            private: Some(DirectPayload { to_life: 8, taken: taken.clone(), words: vec![word(bytes)] }),
-            ..note()
+            private: Some(DirectPayload { to_life: 8, taken: taken.clone(), words: vec![update(bytes)] }),
+            ..message()
         };
         assert_eq!(
-            encode(77, &note()).unwrap()[0],
+            encode(77, &message()).unwrap()[0],
             BASE_VERSION,
-            "one of the former version reads what is for all"
+            "a reader of version 1 still reads messages without a direct payload"
         );
         let bytes = encode(77, &with(MAX_VALUE_BYTES)).unwrap();
         assert_eq!((bytes[0], decode(77, &bytes)), (VERSION, Ok(with(MAX_VALUE_BYTES))));
@@ -301,10 +302,10 @@
     }
 
     #[test]
-    fn foreign_newer_and_unsound_notes_are_told_apart() {
+    fn foreign_newer_and_invalid_messages_are_distinguished() {
         let (a, b) = (cluster(["ab", "c"]), cluster(["a", "bc"]));
         assert_ne!(a, b);
-        let bytes = encode(a, &note()).unwrap();
+        let bytes = encode(a, &message()).unwrap();
         assert_eq!(decode(b, &bytes), Err(Refusal::Foreign));
         // The same tag, another fleet.
         assert_eq!(decode(a ^ 1 << 40, &bytes), Err(Refusal::Malformed));
@@ -315,7 +316,7 @@
         newer[3..7].copy_from_slice(&sum.to_le_bytes());
         assert_eq!(decode(a, &newer), Err(Refusal::Newer));
         for (from, to, step) in [(9, 5, 1), (5, 9, 0), (5, 9, 5)] {
-            let mut bad = note();
+            let mut bad = message();
             bad.blocks[0] = EntryBlock { from, to, ..bad.blocks[0].clone() };
             bad.blocks[0].items[0].step = step;
             assert_eq!(decode(a, &encode(a, &bad).unwrap()), Err(Refusal::Malformed));
@@ -323,7 +324,7 @@
     }
 
     quickcheck! {
-        fn no_bytes_panic(bytes: Vec<u8>, sum: bool) -> bool {
+        fn decode_never_panics(bytes: Vec<u8>, sum: bool) -> bool {
             let mut bytes = bytes;
             if sum && bytes.len() >= HEADER_BYTES {
                 bytes[0] = BASE_VERSION + bytes[0] % 2;
@@ -335,8 +336,8 @@
             true
         }
 
-        fn a_damaged_or_cut_note_is_refused(at: usize, bit: u8, cut: bool) -> bool {
-            let mut bytes = encode(77, &note()).unwrap();
+        fn damaged_or_truncated_message_is_refused(at: usize, bit: u8, cut: bool) -> bool {
+            let mut bytes = encode(77, &message()).unwrap();
             let at = at % bytes.len();
             if cut {
                 bytes.truncate(at);
--- a/src/peers/entries.rs
+++ b/src/peers/entries.rs
@@ -45,27 +45,27 @@
     /// Entries of this run were evicted, so these entries can't be passed on as complete.
     pub partial: bool,
     /// When entries of previous runs expire.
-    pub former_until: Micros,
+    pub previous_until: Micros,
 }
 
 impl OwnerEntries {
     /// Starts a newer run: its counters start at zero. Entries of previous runs stay until they are replaced,
     /// or until `previous_until`.
-    pub fn renew(&mut self, incarnation: u64, former_until: Micros) {
+    pub fn start_run(&mut self, incarnation: u64, previous_until: Micros) {
         if incarnation > self.incarnation {
             (self.incarnation, self.seen, self.top, self.purged) = (incarnation, 0, 0, 0);
-            (self.partial, self.former_until, self.sweep) = (false, former_until, (0, 0));
-            self.items.retain(|_, held| held.value.is_some());
+            (self.partial, self.previous_until, self.sweep) = (false, previous_until, (0, 0));
+            self.items.retain(|_, stored| stored.value.is_some());
         }
     }
 
     /// Whether entries are missing.
-    pub fn lacks(&self) -> bool {
+    pub fn is_incomplete(&self) -> bool {
         self.top > self.seen
     }
 
     /// The request for the missing entries.
-    pub fn ask(&self, owner: u16) -> EntryRequest {
+    pub fn request(&self, owner: u16) -> EntryRequest {
         EntryRequest { owner, incarnation: self.incarnation, have: self.seen, sweep: self.sweep }
     }
 
@@ -77,54 +77,55 @@
         }
         for item in &block.items {
             let version = (block.incarnation, block.from.saturating_add(item.step));
-            let held = self.items.get(&(item.kind, item.id));
+            let stored = self.items.get(&(item.kind, item.id));
             // A late, duplicate or reordered block must not bring back an older version.
-            if held.is_none_or(|h| (h.incarnation, h.counter) < version) {
+            if stored.is_none_or(|h| (h.incarnation, h.counter) < version) {
                 let set_at = now - late - Micros(u64::from(item.age) * 1_000);
                 let value = item.value.as_deref().map(Arc::from);
-                let held = StoredEntry { incarnation: version.0, counter: version.1, set_at, value };
-                self.items.insert((item.kind, item.id), held);
+                let stored = StoredEntry { incarnation: version.0, counter: version.1, set_at, value };
+                self.items.insert((item.kind, item.id), stored);
             }
         }
-        let (at, of) = self.sweep;
+        let (swept_to, sweep_target) = self.sweep;
         if block.swept > 0 {
-            let named = |c: u64| block.items.iter().any(|i| block.from + i.step == c);
+            let listed = |c: u64| block.items.iter().any(|i| block.from + i.step == c);
             let range = block.from + 1..=block.to;
             self.items.retain(|_, h| {
-                h.incarnation != block.incarnation || !range.contains(&h.counter) || named(h.counter)
+                h.incarnation != block.incarnation || !range.contains(&h.counter) || listed(h.counter)
             });
         }
         // If one block of a sweep is lost, entries that no longer exist would remain; so the blocks count
         // only in an unbroken sequence from the first.
-        let goes_on = of == block.swept && block.from <= at;
-        let joins = match block.swept {
+        let continues = sweep_target == block.swept && block.from <= swept_to;
+        let extends_known = match block.swept {
             0 => block.from <= self.seen,
-            swept if block.from == 0 || goes_on => {
-                self.sweep = (if of == swept { at.max(block.to) } else { block.to }, swept);
+            swept if block.from == 0 || continues => {
+                self.sweep = (if sweep_target == swept { swept_to.max(block.to) } else { block.to }, swept);
                 true
             }
             _ => false,
         };
-        if joins {
+        if extends_known {
             self.seen = self.seen.max(block.to);
         }
         self.top = self.top.max(block.to);
-        self.bound();
+        self.enforce_limits();
     }
 
     /// Removes entries of previous runs once they have expired.
-    pub fn fade(&mut self, now: Micros) {
-        if now >= self.former_until {
-            let life = self.incarnation;
-            self.items.retain(|_, h| h.incarnation == life);
+    pub fn expire_previous(&mut self, now: Micros) {
+        if now >= self.previous_until {
+            let current = self.incarnation;
+            self.items.retain(|_, h| h.incarnation == current);
         }
     }
 
     /// Enforces the limits on tombstones and on live entries.
-    fn bound(&mut self) {
-        let life = self.incarnation;
-        let count =
-            |s: &OwnerEntries, tomb: bool| s.items.values().filter(|h| h.value.is_none() == tomb).count();
+    fn enforce_limits(&mut self) {
+        let current = self.incarnation;
+        let count = |s: &OwnerEntries, tombstones: bool| {
+            s.items.values().filter(|h| h.value.is_none() == tombstones).count()
+        };
         while count(self, true) > MAX_TOMBSTONES_PER_OWNER {
             let sent = self.items.iter().filter(|(_, h)| h.value.is_none() && h.counter > 0);
             let Some((key, counter)) = sent.map(|(k, h)| (*k, h.counter)).min_by_key(|(_, c)| *c) else {
@@ -136,34 +137,35 @@
         while count(self, false) > MAX_ENTRIES_PER_OWNER {
             // Entries of previous runs go first, then the least urgent, then the oldest.
             let live = self.items.iter().filter(|(_, h)| h.value.is_some());
-            let last = live.map(|(k, h)| (h.incarnation == life, std::cmp::Reverse(k.0), h.set_at, *k)).min();
-            let Some((now_living, .., key)) = last else { break };
+            let victim =
+                live.map(|(k, h)| (h.incarnation == current, std::cmp::Reverse(k.0), h.set_at, *k)).min();
+            let Some((of_current_run, .., key)) = victim else { break };
             self.items.remove(&key);
-            self.partial |= now_living;
+            self.partial |= of_current_run;
         }
     }
 
     /// Evicts one entry because of a limit elsewhere.
-    pub fn give_up(&mut self, key: (u8, u32)) {
-        if let Some(held) = self.items.remove(&key) {
-            self.partial |= held.incarnation == self.incarnation;
+    pub fn evict(&mut self, key: (u8, u32)) {
+        if let Some(stored) = self.items.remove(&key) {
+            self.partial |= stored.incarnation == self.incarnation;
         }
     }
 
     /// The entries above what the requester has, up to `room` bytes; `None` if there are none, if they are
     /// incomplete here or if nothing fits. `skip` selects keys that are about to be sent anew.
     pub fn answer(
-        &self, now: Micros, ask: &EntryRequest, room: usize, skip: impl Fn(&(u8, u32)) -> bool,
+        &self, now: Micros, request: &EntryRequest, room: usize, skip: impl Fn(&(u8, u32)) -> bool,
     ) -> Option<EntryBlock> {
-        if ask.have >= self.seen || self.partial {
+        if request.have >= self.seen || self.partial {
             return None;
         }
         // An entry that was removed without a tombstone may have any counter below `purged`, so the requester
         // needs all entries again.
-        let swept = if self.purged > ask.have { self.purged } else { 0 };
+        let swept = if self.purged > request.have { self.purged } else { 0 };
         let have = match swept {
-            0 => ask.have,
-            swept if ask.sweep.1 == swept => ask.sweep.0,
+            0 => request.have,
+            swept if request.sweep.1 == swept => request.sweep.0,
             _ => 0,
         };
         let due = self.items.iter().filter(|(key, h)| {
@@ -173,7 +175,7 @@
         due.sort_by_key(|(_, h)| h.counter);
         let to = self.seen;
         let mut block = EntryBlock {
-            owner: ask.owner,
+            owner: request.owner,
             incarnation: self.incarnation,
             from: have,
             to,
@@ -181,8 +183,8 @@
             items: vec![],
         };
         let mut left = room.checked_sub(encoded_len(&block))?;
-        for (key, held) in due {
-            let item = item(now, *key, held, have);
+        for (key, stored) in due {
+            let item = encode_entry(now, *key, stored, have);
             let Some(rest) = left.checked_sub(encoded_len(&item)) else {
                 // The block ends with the last entry that fits.
                 block.to = block.items.last().map(|i| have + i.step)?;
@@ -195,17 +197,17 @@
     }
 }
 
-fn item(now: Micros, key: (u8, u32), held: &StoredEntry, from: u64) -> EntryItem {
-    let age = ((now - held.set_at).0 / 1_000).min(u64::from(u32::MAX)) as u32;
-    let value = held.value.as_ref().map(|v| v.to_vec());
-    EntryItem { kind: key.0, id: key.1, step: held.counter.saturating_sub(from), age, value }
+fn encode_entry(now: Micros, key: (u8, u32), stored: &StoredEntry, from: u64) -> EntryItem {
+    let age = ((now - stored.set_at).0 / 1_000).min(u64::from(u32::MAX)) as u32;
+    let value = stored.value.as_ref().map(|v| v.to_vec());
+    EntryItem { kind: key.0, id: key.1, step: stored.counter.saturating_sub(from), age, value }
 }
 
 /// A member's own entries. An entry gets its counter when it is first sent.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LocalEntries {
     /// The entries; `seen` and `top` are the newest counter assigned.
-    pub shelf: OwnerEntries,
+    pub entries: OwnerEntries,
     /// The keys of entries to send, and since when they wait.
     pub dirty: BTreeMap<(u8, u32), Micros>,
 }
@@ -213,79 +215,83 @@
 impl LocalEntries {
     /// Sets or removes an entry. Returns false, and changes nothing, if there are too many.
     pub fn set(&mut self, now: Micros, key: (u8, u32), value: Option<&[u8]>) -> bool {
-        let shelf = &mut self.shelf;
-        let new = shelf.items.get(&key).is_none_or(|h| h.value.is_none());
-        let standing = shelf.items.values().filter(|h| h.value.is_some()).count();
-        let all = shelf.items.len();
+        let entries = &mut self.entries;
+        let new = entries.items.get(&key).is_none_or(|h| h.value.is_none());
+        let live = entries.items.values().filter(|h| h.value.is_some()).count();
+        let total = entries.items.len();
         match value {
             Some(_)
                 if new
-                    && (standing >= MAX_ENTRIES_PER_OWNER
-                        || all >= MAX_ENTRIES_PER_OWNER + MAX_TOMBSTONES_PER_OWNER) =>
+                    && (live >= MAX_ENTRIES_PER_OWNER
+                        || total >= MAX_ENTRIES_PER_OWNER + MAX_TOMBSTONES_PER_OWNER) =>
             {
                 return false
             }
             None if new => return true,
             _ => {}
         }
-        let counter = shelf.items.get(&key).map_or(0, |h| h.counter);
+        let counter = entries.items.get(&key).map_or(0, |h| h.counter);
         if value.is_none() && counter == 0 {
-            shelf.items.remove(&key);
+            entries.items.remove(&key);
             self.dirty.remove(&key);
             return true;
         }
-        let held =
-            StoredEntry { incarnation: shelf.incarnation, counter, set_at: now, value: value.map(Arc::from) };
-        shelf.items.insert(key, held);
+        let stored = StoredEntry {
+            incarnation: entries.incarnation,
+            counter,
+            set_at: now,
+            value: value.map(Arc::from),
+        };
+        entries.items.insert(key, stored);
         self.dirty.entry(key).or_insert(now);
         true
     }
 
     /// Starts a newer run, in which all live entries are sent anew.
     pub fn adopt_incarnation(&mut self, now: Micros, incarnation: u64) {
-        self.shelf.items.retain(|_, h| h.value.is_some());
-        for held in self.shelf.items.values_mut() {
-            (held.incarnation, held.counter) = (incarnation, 0);
+        self.entries.items.retain(|_, h| h.value.is_some());
+        for stored in self.entries.items.values_mut() {
+            (stored.incarnation, stored.counter) = (incarnation, 0);
         }
-        let items = std::mem::take(&mut self.shelf.items);
+        let items = std::mem::take(&mut self.entries.items);
         self.dirty = items.keys().map(|k| (*k, now)).collect();
-        self.shelf = OwnerEntries { incarnation, items, ..OwnerEntries::default() };
+        self.entries = OwnerEntries { incarnation, items, ..OwnerEntries::default() };
     }
 
     /// About how many bytes all waiting entries take.
-    pub fn wanted(&self) -> usize {
-        let held = self.dirty.keys().filter_map(|k| self.shelf.items.get(k));
-        held.map(|h| 12 + h.value.as_ref().map_or(0, |v| v.len())).sum::<usize>() + 16
+    pub fn pending_bytes(&self) -> usize {
+        let stored = self.dirty.keys().filter_map(|k| self.entries.items.get(k));
+        stored.map(|h| 12 + h.value.as_ref().map_or(0, |v| v.len())).sum::<usize>() + 16
     }
 
     /// The next block of changes, the most urgent first, up to `room` bytes; assigns their counters.
-    pub fn changes(&mut self, now: Micros, owner: u16, room: usize) -> Option<EntryBlock> {
-        let shelf = &mut self.shelf;
+    pub fn next_block(&mut self, now: Micros, owner: u16, room: usize) -> Option<EntryBlock> {
+        let entries = &mut self.entries;
         let urgency = |(key, since): (&(u8, u32), &Micros)| i64::from(key.0) - (now - *since).secs() as i64;
         let mut due: Vec<_> = self.dirty.iter().map(|d| (urgency(d), *d.0)).collect();
         due.sort();
-        let (incarnation, from) = (shelf.incarnation, shelf.top);
+        let (incarnation, from) = (entries.incarnation, entries.top);
         let mut block =
             EntryBlock { owner, incarnation, from, to: from + due.len() as u64, swept: 0, items: vec![] };
         let mut left = room.checked_sub(encoded_len(&block))?;
         for (_, key) in due {
-            let Some(held) = shelf.items.get_mut(&key) else {
+            let Some(stored) = entries.items.get_mut(&key) else {
                 self.dirty.remove(&key);
                 continue;
             };
-            let was = std::mem::replace(&mut held.counter, shelf.top + 1);
-            let next = item(now, key, held, from);
+            let old_counter = std::mem::replace(&mut stored.counter, entries.top + 1);
+            let next = encode_entry(now, key, stored, from);
             let Some(rest) = left.checked_sub(encoded_len(&next)) else {
-                held.counter = was;
+                stored.counter = old_counter;
                 continue;
             };
             left = rest;
-            shelf.top += 1;
+            entries.top += 1;
             self.dirty.remove(&key);
             block.items.push(next);
         }
-        (block.to, shelf.seen) = (shelf.top, shelf.top);
-        shelf.bound();
+        (block.to, entries.seen) = (entries.top, entries.top);
+        entries.enforce_limits();
         (!block.items.is_empty()).then_some(block)
     }
 }
--- a/src/peers/membership.rs
+++ b/src/peers/membership.rs
@@ -122,11 +122,12 @@
             self.min_delays = [if stale { None } else { self.min_delays[1] }, None];
             self.window_since = now;
         }
-        let grown = |(took, then): (i64, Micros)| took + ((now - then).0 as f64 * MAX_CLOCK_DRIFT) as i64;
-        if self.min_delays[1].is_none_or(|q| took <= grown(q)) {
+        let with_drift =
+            |(took, then): (i64, Micros)| took + ((now - then).0 as f64 * MAX_CLOCK_DRIFT) as i64;
+        if self.min_delays[1].is_none_or(|q| took <= with_drift(q)) {
             self.min_delays[1] = Some((took, now));
         }
-        let base = self.min_delays.iter().flatten().map(|q| grown(*q)).min().unwrap_or(took);
+        let base = self.min_delays.iter().flatten().map(|q| with_drift(*q)).min().unwrap_or(took);
         Micros((took - base).max(0) as u64)
     }
 
--- a/src/peers/mod.rs
+++ b/src/peers/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! **Bounds.** At most [`MAX_MEMBERS`] members; per owner [`entries::MAX_ENTRIES_PER_OWNER`] entries and
 //! [`entries::MAX_TOMBSTONES_PER_OWNER`] tombstones; [`Config::max_peer_entries`] entries of other members in
-//! total; one pending repair per owner; [`MAX_QUEUED_ANSWERS`] queued requests. See [`budget`] for the bounds
+//! total; one pending repair per owner; [`MAX_QUEUED_REQUESTS`] queued requests. See [`budget`] for the bounds
 //! on traffic.
 
 pub mod budget;
@@ -38,7 +38,7 @@
 /// Most members of a fleet.
 pub const MAX_MEMBERS: usize = 1_024;
 /// Most entry requests that wait for an answer.
-pub const MAX_QUEUED_ANSWERS: usize = 256;
+pub const MAX_QUEUED_REQUESTS: usize = 256;
 /// Bytes that a heartbeat may take even when the budget has nothing left: the header, one entry of full
 /// length and one digest.
 pub const MIN_BEAT_BYTES: usize = 112;
@@ -69,11 +69,11 @@
 
 /// A pending repair: entries of one owner are missing.
 #[derive(Debug, Clone, PartialEq)]
-struct Chase {
+struct Repair {
     due: Micros,
-    wait: Micros,
-    tries: u32,
-    teller: Option<u16>,
+    retry_delay: Micros,
+    attempts: u32,
+    source: Option<u16>,
 }
 
 /// One member's view of the fleet, and the entries that it publishes.
@@ -82,28 +82,28 @@
     config: Config,
     me: u16,
     incarnation: u64,
-    born: Micros,
+    started_at: Micros,
     rng: Pcg64Mcg,
     members: Vec<Member>,
-    shelves: Vec<OwnerEntries>,
-    own: LocalEntries,
+    owners: Vec<OwnerEntries>,
+    local: LocalEntries,
     budget: Budget,
-    start: SlowStart,
-    beat: Micros,
-    beat_at: Micros,
-    chases: BTreeMap<u16, Chase>,
+    slow_start: SlowStart,
+    beat_interval: Micros,
+    next_beat_at: Micros,
+    repairs: BTreeMap<u16, Repair>,
     /// Requests that wait for an answer, by requester and owner.
-    answers: BTreeMap<(u16, u16), EntryRequest>,
+    queued_requests: BTreeMap<(u16, u16), EntryRequest>,
     /// The requester that was answered last.
-    answered: u16,
+    last_answered: u16,
     /// Members that still send in a previous run and have to be told of the newer one.
-    tell: BTreeSet<u16>,
+    to_notify: BTreeSet<u16>,
     /// Owners that still have entries from a previous run.
-    fading: BTreeSet<u16>,
-    held: usize,
+    owners_with_previous: BTreeSet<u16>,
+    stored_entries: usize,
     repairs_next: bool,
     superseded: Option<u64>,
-    private: DirectUpdates,
+    direct: DirectUpdates,
     counts: Counts,
 }
 
@@ -118,27 +118,27 @@
         let mut peers = Peers {
             me,
             incarnation,
-            born: now,
+            started_at: now,
             rng: Pcg64Mcg::seed_from_u64(seed),
             members: vec![],
-            shelves: vec![],
-            own: LocalEntries {
-                shelf: OwnerEntries { incarnation, ..OwnerEntries::default() },
+            owners: vec![],
+            local: LocalEntries {
+                entries: OwnerEntries { incarnation, ..OwnerEntries::default() },
                 dirty: BTreeMap::new(),
             },
             budget: Budget::new(now, (0.0, 0.0), (0.0, 0.0), 0.0),
-            start: SlowStart::new(0.0),
-            beat: config.beat_interval,
-            beat_at: now,
-            chases: BTreeMap::new(),
-            answers: BTreeMap::new(),
-            answered: 0,
-            tell: BTreeSet::new(),
-            fading: BTreeSet::new(),
-            held: 0,
+            slow_start: SlowStart::new(0.0),
+            beat_interval: config.beat_interval,
+            next_beat_at: now,
+            repairs: BTreeMap::new(),
+            queued_requests: BTreeMap::new(),
+            last_answered: 0,
+            to_notify: BTreeSet::new(),
+            owners_with_previous: BTreeSet::new(),
+            stored_entries: 0,
             repairs_next: false,
             superseded: None,
-            private: DirectUpdates::default(),
+            direct: DirectUpdates::default(),
             counts: Counts::default(),
             config,
         };
@@ -150,28 +150,29 @@
     pub fn resize(&mut self, now: Micros, n: usize) {
         let n = n.clamp(usize::from(self.me) + 1, MAX_MEMBERS.max(usize::from(self.me) + 1));
         let others = (n - 1) as f64;
-        let least =
+        let min_interval =
             Micros::from_secs(MIN_BEAT_BYTES as f64 * others / self.config.max_beat_bytes_per_s.max(1.0));
-        self.beat = self.config.beat_interval.max(least).max(Micros(100_000));
-        self.members.resize(n, Member::new(now, self.beat));
-        self.shelves.resize(n, OwnerEntries::default());
-        self.held = self.shelves.iter().map(|s| s.items.len()).sum();
-        let beats = others / self.beat.secs();
-        let notes = self.config.messages_per_s.max(1.5 * beats);
+        self.beat_interval = self.config.beat_interval.max(min_interval).max(Micros(100_000));
+        self.members.resize(n, Member::new(now, self.beat_interval));
+        self.owners.resize(n, OwnerEntries::default());
+        self.stored_entries = self.owners.iter().map(|s| s.items.len()).sum();
+        let beats = others / self.beat_interval.secs();
+        let messages = self.config.messages_per_s.max(1.5 * beats);
         let bytes = 1.5 * beats * MIN_BEAT_BYTES as f64;
-        let full = others * self.config.max_datagram_bytes as f64;
-        let (notes, bytes) = ((notes, (2.0 * notes).max(others)), (bytes, (2.0 * bytes).max(full)));
-        self.budget = Budget::new(now, notes, bytes, self.config.bytes_per_message);
-        self.start = SlowStart::new(beats);
-        self.budget.set_byte_rate(self.start.rate(bytes.0));
+        let full_message = others * self.config.max_datagram_bytes as f64;
+        let (messages, bytes) =
+            ((messages, (2.0 * messages).max(others)), (bytes, (2.0 * bytes).max(full_message)));
+        self.budget = Budget::new(now, messages, bytes, self.config.bytes_per_message);
+        self.slow_start = SlowStart::new(beats);
+        self.budget.set_byte_rate(self.slow_start.rate(bytes.0));
         // A random phase keeps members that start together from sending together.
-        self.beat_at = now + self.beat.scale(self.random());
-        let gone = |o: &u16| usize::from(*o) < n;
-        self.chases.retain(|o, _| gone(o));
-        self.answers.retain(|(p, o), _| gone(p) && gone(o));
-        self.tell.retain(gone);
-        self.fading.retain(gone);
-        self.private.retain(|o| gone(&o));
+        self.next_beat_at = now + self.beat_interval.scale(self.random());
+        let exists = |o: &u16| usize::from(*o) < n;
+        self.repairs.retain(|o, _| exists(o));
+        self.queued_requests.retain(|(p, o), _| exists(p) && exists(o));
+        self.to_notify.retain(exists);
+        self.owners_with_previous.retain(exists);
+        self.direct.retain(|o| exists(&o));
     }
 
     fn random(&mut self) -> f64 {
@@ -180,209 +181,211 @@
 
     /// Takes in a datagram. `from` is the member whose address it came from, if known.
     pub fn receive(&mut self, now: Micros, from: Option<u16>, bytes: &[u8]) -> Result<(), Refusal> {
-        let result =
-            codec::decode(self.config.cluster, bytes).and_then(|note| self.receive_message(now, from, note));
+        let result = codec::decode(self.config.cluster, bytes)
+            .and_then(|message| self.receive_message(now, from, message));
         match result {
             Ok(()) => self.counts.heard += 1,
             Err(why) => {
-                let at = Refusal::ALL.iter().position(|r| *r == why).unwrap_or(0);
-                self.counts.refused[at] += 1;
+                let index = Refusal::ALL.iter().position(|r| *r == why).unwrap_or(0);
+                self.counts.refused[index] += 1;
             }
         }
         result
     }
 
     fn receive_message(
-        &mut self, now: Micros, address: Option<u16>, note: GossipMessage,
+        &mut self, now: Micros, address: Option<u16>, message: GossipMessage,
     ) -> Result<(), Refusal> {
-        let from = note.from;
+        let from = message.from;
         if from == self.me {
-            self.of_me(note.incarnation, 0);
+            self.check_own_run(message.incarnation, 0);
             return Err(Refusal::Unknown);
         }
         let known = usize::from(from) < self.members.len();
         if !known || address.is_some_and(|a| a != from) {
             return Err(Refusal::Unknown);
         }
-        if !self.life(now, from, note.incarnation, note.top, note.at)? {
+        if !self.check_run(now, from, message.incarnation, message.top, message.at)? {
             // Each member that notices replies only with a probability, so that about four do; if none does,
             // the old run sends again.
             if self.random() * (self.members.len() as f64) < 4.0 {
-                self.tell.insert(from);
+                self.to_notify.insert(from);
             }
             return Err(Refusal::Old);
         }
         let member = &mut self.members[usize::from(from)];
-        let late = member.extra_delay(now, note.at);
+        let late = member.extra_delay(now, message.at);
         self.counts.late += u64::from(late > LATE_AFTER);
         member.last_direct = member.last_direct.max(Some(now - late));
-        let stamp = note.at / 100 + 1;
-        if note.next == 0 && stamp >= member.stamp {
+        let stamp = message.at / 100 + 1;
+        if message.next == 0 && stamp >= member.stamp {
             member.mark_left(now);
         } else {
-            member.beat_interval = Micros(u64::from(note.next.clamp(1, MAX_BEAT_TENTHS)) * 100_000);
+            member.beat_interval = Micros(u64::from(message.next.clamp(1, MAX_BEAT_TENTHS)) * 100_000);
             member.mark_alive(now, stamp, now - late);
         }
-        for top in &note.tops {
-            self.top(now, late, from, top);
+        for digest in &message.tops {
+            self.receive_digest(now, late, from, digest);
         }
-        for block in &note.blocks {
-            self.block(now, late, block);
+        for block in &message.blocks {
+            self.receive_block(now, late, block);
         }
         // Direct updates and acknowledgements for a previous run of this member do not apply to this run.
-        if let Some(private) = note.private.as_ref().filter(|p| p.to_life == self.incarnation) {
-            self.counts.parts_refused += self.private.heard(now, from, note.incarnation, late, private);
+        if let Some(payload) = message.private.as_ref().filter(|p| p.to_life == self.incarnation) {
+            self.counts.parts_refused += self.direct.receive(now, from, message.incarnation, late, payload);
         }
-        self.told(now, from, note.top, from);
+        self.record_announcement(now, from, message.top, from);
         let member = &mut self.members[usize::from(from)];
-        if !note.asks.is_empty() && note.at + 1 > member.asked {
-            member.asked = note.at + 1;
-            for ask in &note.asks {
-                self.asked(from, ask);
+        if !message.asks.is_empty() && message.at + 1 > member.asked {
+            member.asked = message.at + 1;
+            for request in &message.asks {
+                self.queue_request(from, request);
             }
         }
         Ok(())
     }
 
     /// Registers the run that a message names for `owner`; returns false if that run has been replaced.
-    fn life(
+    fn check_run(
         &mut self, now: Micros, owner: u16, incarnation: u64, top: u64, at: u64,
     ) -> Result<bool, Refusal> {
-        let i = usize::from(owner);
-        let known = if incarnation == self.shelves[i].incarnation { self.shelves[i].top } else { 0 };
-        let ahead = top > known.saturating_add(entries::MAX_COUNTER_JUMP) || at > MAX_RUN_AGE_MS;
-        if incarnation == 0 || ahead || self.members[i].is_future(incarnation) {
+        let index = usize::from(owner);
+        let known = if incarnation == self.owners[index].incarnation { self.owners[index].top } else { 0 };
+        let unreachable = top > known.saturating_add(entries::MAX_COUNTER_JUMP) || at > MAX_RUN_AGE_MS;
+        if incarnation == 0 || unreachable || self.members[index].is_future(incarnation) {
             return Err(Refusal::Future);
         }
-        if self.members[i].start_run(incarnation) {
-            self.shelves[i].renew(incarnation, now + self.config.previous_run_ttl);
-            if !self.shelves[i].items.is_empty() {
-                self.fading.insert(owner);
+        if self.members[index].start_run(incarnation) {
+            self.owners[index].start_run(incarnation, now + self.config.previous_run_ttl);
+            if !self.owners[index].items.is_empty() {
+                self.owners_with_previous.insert(owner);
             }
-            self.chases.remove(&owner);
-            self.answers.retain(|(_, o), _| *o != owner);
-            self.tell.remove(&owner);
-            self.private.renewed(now, owner);
+            self.repairs.remove(&owner);
+            self.queued_requests.retain(|(_, o), _| *o != owner);
+            self.to_notify.remove(&owner);
+            self.direct.peer_restarted(now, owner);
         }
-        Ok(incarnation == self.members[i].incarnation)
+        Ok(incarnation == self.members[index].incarnation)
     }
 
     /// Checks what others report of this member: a higher incarnation, or counters that this run never
     /// assigned, mean that another run has replaced it.
-    fn of_me(&mut self, incarnation: u64, top: u64) {
+    fn check_own_run(&mut self, incarnation: u64, top: u64) {
         let own = self.incarnation;
         // Believing an unreachable incarnation would silence this member for good, since no higher number
         // would be accepted.
         if incarnation > own.saturating_add(membership::MAX_INCARNATION_JUMP) {
             return;
         }
-        if incarnation > own || (incarnation == own && top > self.own.shelf.top) {
+        if incarnation > own || (incarnation == own && top > self.local.entries.top) {
             self.superseded = self.superseded.max(Some(incarnation));
         }
     }
 
-    fn top(&mut self, now: Micros, late: Micros, teller: u16, top: &MemberDigest) {
-        if top.owner == self.me {
-            // The member's own stamp comes back: the teller has heard of this member up to that time,
+    fn receive_digest(&mut self, now: Micros, late: Micros, source: u16, digest: &MemberDigest) {
+        if digest.owner == self.me {
+            // The member's own stamp comes back: the source has heard of this member up to that time,
             // directly or through others.
-            if top.incarnation == self.incarnation {
-                let when = self.born + Micros(top.stamp.saturating_sub(1).saturating_mul(100_000));
-                let member = &mut self.members[usize::from(teller)];
+            if digest.incarnation == self.incarnation {
+                let when = self.started_at + Micros(digest.stamp.saturating_sub(1).saturating_mul(100_000));
+                let member = &mut self.members[usize::from(source)];
                 member.last_heard_own = member.last_heard_own.max(Some(when.min(now)));
             }
-            return self.of_me(top.incarnation, top.top);
+            return self.check_own_run(digest.incarnation, digest.top);
         }
-        let known = usize::from(top.owner) < self.members.len();
-        let at = top.stamp.saturating_mul(100);
-        if !known || self.life(now, top.owner, top.incarnation, top.top, at) != Ok(true) {
+        let known = usize::from(digest.owner) < self.members.len();
+        let at = digest.stamp.saturating_mul(100);
+        if !known || self.check_run(now, digest.owner, digest.incarnation, digest.top, at) != Ok(true) {
             self.counts.parts_refused += 1;
             return;
         }
-        let age = late + Micros(u64::from(top.age) * 100_000);
-        self.members[usize::from(top.owner)].mark_alive(now, top.stamp, now - age);
-        self.told(now, top.owner, top.top, teller);
+        let age = late + Micros(u64::from(digest.age) * 100_000);
+        self.members[usize::from(digest.owner)].mark_alive(now, digest.stamp, now - age);
+        self.record_announcement(now, digest.owner, digest.top, source);
     }
 
-    fn block(&mut self, now: Micros, late: Micros, block: &codec::EntryBlock) {
+    fn receive_block(&mut self, now: Micros, late: Micros, block: &codec::EntryBlock) {
         if block.owner == self.me {
-            return self.of_me(block.incarnation, block.to);
+            return self.check_own_run(block.incarnation, block.to);
         }
-        let i = usize::from(block.owner);
-        let known = i < self.members.len();
-        if !known || self.life(now, block.owner, block.incarnation, block.to, 0) != Ok(true) {
+        let index = usize::from(block.owner);
+        let known = index < self.members.len();
+        if !known || self.check_run(now, block.owner, block.incarnation, block.to, 0) != Ok(true) {
             self.counts.parts_refused += 1;
             return;
         }
-        let shelf = &mut self.shelves[i];
-        let (before, len) = (shelf.ask(block.owner), shelf.items.len());
-        shelf.merge(now, block, late);
-        let forward = shelf.ask(block.owner) != before;
-        self.held = self.held + shelf.items.len() - len;
-        if !shelf.lacks() {
-            self.chases.remove(&block.owner);
-        } else if let Some(chase) = self.chases.get_mut(&block.owner).filter(|_| forward) {
-            (chase.tries, chase.wait, chase.due) = (0, RETRY_DELAY, now + FIRST_REQUEST_DELAY);
+        let entries = &mut self.owners[index];
+        let (request_before, len_before) = (entries.request(block.owner), entries.items.len());
+        entries.merge(now, block, late);
+        let advanced = entries.request(block.owner) != request_before;
+        self.stored_entries = self.stored_entries + entries.items.len() - len_before;
+        if !entries.is_incomplete() {
+            self.repairs.remove(&block.owner);
+        } else if let Some(repair) = self.repairs.get_mut(&block.owner).filter(|_| advanced) {
+            (repair.attempts, repair.retry_delay, repair.due) = (0, RETRY_DELAY, now + FIRST_REQUEST_DELAY);
         }
-        if self.held > self.config.max_peer_entries {
-            self.make_room();
+        if self.stored_entries > self.config.max_peer_entries {
+            self.evict_entries();
         }
     }
 
     /// Evicts entries of the least urgent kinds, the oldest first, and somewhat more than needed so that this
     /// runs seldom.
-    fn make_room(&mut self) {
-        let all = self.shelves.iter().enumerate().flat_map(|(i, s)| s.items.iter().map(move |e| (i, e)));
+    fn evict_entries(&mut self) {
+        let all = self.owners.iter().enumerate().flat_map(|(i, s)| s.items.iter().map(move |e| (i, e)));
         let mut all: Vec<_> = all.map(|(i, (k, h))| (std::cmp::Reverse(k.0), h.set_at, i, *k)).collect();
         all.sort();
-        let over = self.held - self.config.max_peer_entries + self.config.max_peer_entries / 64;
-        for (.., owner, key) in all.into_iter().take(over) {
-            self.shelves[owner].give_up(key);
-            self.held -= 1;
+        let excess = self.stored_entries - self.config.max_peer_entries + self.config.max_peer_entries / 64;
+        for (.., owner, key) in all.into_iter().take(excess) {
+            self.owners[owner].evict(key);
+            self.stored_entries -= 1;
             self.counts.given_up += 1;
         }
     }
 
-    /// Notes that `teller` announced the owner's newest counter and schedules a repair if entries are
+    /// Records that `source` announced the owner's newest counter and schedules a repair if entries are
     /// missing.
-    fn told(&mut self, now: Micros, owner: u16, top: u64, teller: u16) {
-        let shelf = &mut self.shelves[usize::from(owner)];
-        let more = top > shelf.seen;
-        shelf.top = shelf.top.max(top);
-        if !shelf.lacks() {
+    fn record_announcement(&mut self, now: Micros, owner: u16, top: u64, source: u16) {
+        let entries = &mut self.owners[usize::from(owner)];
+        let newer = top > entries.seen;
+        entries.top = entries.top.max(top);
+        if !entries.is_incomplete() {
             return;
         }
         let spread = self.random();
-        let chase = self.chases.entry(owner).or_insert_with(|| Chase {
+        let repair = self.repairs.entry(owner).or_insert_with(|| Repair {
             due: now + FIRST_REQUEST_DELAY + FIRST_REQUEST_DELAY.scale(4.0 * spread),
-            wait: RETRY_DELAY,
-            tries: 0,
-            teller: None,
+            retry_delay: RETRY_DELAY,
+            attempts: 0,
+            source: None,
         });
-        if more && teller != owner {
-            chase.teller = Some(teller);
+        if newer && source != owner {
+            repair.source = Some(source);
         }
     }
 
-    fn asked(&mut self, by: u16, ask: &EntryRequest) {
-        let shelf = match usize::from(ask.owner) {
-            _ if ask.owner == self.me => &self.own.shelf,
-            i if i < self.shelves.len() => &self.shelves[i],
+    fn queue_request(&mut self, requester: u16, request: &EntryRequest) {
+        let entries = match usize::from(request.owner) {
+            _ if request.owner == self.me => &self.local.entries,
+            i if i < self.owners.len() => &self.owners[i],
             _ => return,
         };
-        let (owner, incarnation) = (ask.owner, shelf.incarnation);
+        let (owner, incarnation) = (request.owner, entries.incarnation);
         // A requester that knows only a previous run has no entries of this one.
-        let ask = match ask.incarnation.cmp(&incarnation) {
+        let request = match request.incarnation.cmp(&incarnation) {
             std::cmp::Ordering::Less => EntryRequest { owner, incarnation, have: 0, sweep: (0, 0) },
-            std::cmp::Ordering::Equal => *ask,
+            std::cmp::Ordering::Equal => *request,
             std::cmp::Ordering::Greater => return,
         };
-        if ask.have >= shelf.seen || shelf.partial {
+        if request.have >= entries.seen || entries.partial {
             return;
         }
-        if self.answers.len() >= MAX_QUEUED_ANSWERS && !self.answers.contains_key(&(by, ask.owner)) {
+        if self.queued_requests.len() >= MAX_QUEUED_REQUESTS
+            && !self.queued_requests.contains_key(&(requester, request.owner))
+        {
             self.counts.unanswered += 1;
             return;
         }
-        self.answers.insert((by, ask.owner), ask);
+        self.queued_requests.insert((requester, request.owner), request);
     }
 }
--- a/src/peers/payload.rs
+++ b/src/peers/payload.rs
@@ -69,10 +69,10 @@
         }
         // An entry that was refused because the courier has too many is left out, so that it is set as soon
         // as there is capacity.
-        let mut before = std::mem::take(&mut self.published);
+        let mut previous = std::mem::take(&mut self.published);
         self.published = entries
             .into_iter()
-            .filter_map(|(id, value)| match before.remove(&id) {
+            .filter_map(|(id, value)| match previous.remove(&id) {
                 Some(old) if old.0 == value => Some((id, old)),
                 _ => peers.set(now, self.kind, id, &value).then_some((id, (value, now))),
             })
--- a/src/peers/send.rs
+++ b/src/peers/send.rs
@@ -3,7 +3,7 @@
 use super::budget::Reserve;
 use super::codec::{self, encoded_len, EntryRequest, GossipMessage, MemberDigest, HEADER_BYTES};
 use super::{
-    Chase, MemberStatus, Micros, Peers, Recipient, MAX_DIGESTS_PER_BEAT, MAX_RETRY_DELAY, MIN_BEAT_BYTES,
+    MemberStatus, Micros, Peers, Recipient, Repair, MAX_DIGESTS_PER_BEAT, MAX_RETRY_DELAY, MIN_BEAT_BYTES,
 };
 use rand_core::RngCore;
 
@@ -28,23 +28,23 @@
     pub fn tick(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         let mut out = vec![];
         self.budget.refill(now);
-        self.fade(now);
+        self.expire_previous(now);
         // A run that another has replaced must not send in the member's name.
-        if self.superseded.is_some() || self.others() == 0 {
+        if self.superseded.is_some() || self.other_count() == 0 {
             return out;
         }
-        if now >= self.beat_at {
-            self.beat(now, &mut out);
+        if now >= self.next_beat_at {
+            self.send_beat(now, &mut out);
         }
         while out.len() < MAX_DATAGRAMS_PER_TICK {
             // Changes and repairs alternate, so that neither starves the other.
-            let first = self.repairs_next;
-            self.repairs_next = !first;
-            let went = match first {
-                true => self.repair(now, &mut out) || self.change(now, &mut out),
-                false => self.change(now, &mut out) || self.repair(now, &mut out),
+            let repairs_first = self.repairs_next;
+            self.repairs_next = !repairs_first;
+            let sent = match repairs_first {
+                true => self.send_repair(now, &mut out) || self.send_changes(now, &mut out),
+                false => self.send_changes(now, &mut out) || self.send_repair(now, &mut out),
             };
-            if !went {
+            if !sent {
                 break;
             }
         }
@@ -53,75 +53,80 @@
 
     /// When [`Peers::tick`] has something to do next, if nothing happens before.
     pub fn next_at(&self) -> Micros {
-        let fading = self.fading.iter().map(|o| self.shelves[usize::from(*o)].former_until).min();
-        if self.superseded.is_some() || self.others() == 0 {
-            return fading.unwrap_or(Micros(u64::MAX));
+        let previous_expiry =
+            self.owners_with_previous.iter().map(|o| self.owners[usize::from(*o)].previous_until).min();
+        if self.superseded.is_some() || self.other_count() == 0 {
+            return previous_expiry.unwrap_or(Micros(u64::MAX));
         }
-        let change = self.own.dirty.values().min().map(|since| {
-            let ready = self.budget.ready_at(self.others(), self.change_least(), self.reserve());
+        let change = self.local.dirty.values().min().map(|since| {
+            let ready = self.budget.ready_at(self.other_count(), self.min_change_bytes(), self.reserve());
             ready.max(*since + self.config.batch_delay)
         });
-        let one = || self.budget.ready_at(1, MIN_UNICAST_BYTES, self.reserve());
-        let chase = self.chases.values().map(|c| c.due).min().map(|due| due.max(one()));
-        let answer = (!self.answers.is_empty() || !self.tell.is_empty()).then(one);
-        let private = self.private.due().map(|due| due.max(one()));
-        let all = [Some(self.beat_at), fading, change, chase, answer, private];
-        all.into_iter().flatten().min().unwrap_or(self.beat_at)
+        let unicast_ready = || self.budget.ready_at(1, MIN_UNICAST_BYTES, self.reserve());
+        let repair = self.repairs.values().map(|repair| repair.due).min().map(|due| due.max(unicast_ready()));
+        let answer = (!self.queued_requests.is_empty() || !self.to_notify.is_empty()).then(unicast_ready);
+        let direct = self.direct.due().map(|due| due.max(unicast_ready()));
+        let all = [Some(self.next_beat_at), previous_expiry, change, repair, answer, direct];
+        all.into_iter().flatten().min().unwrap_or(self.next_beat_at)
     }
 
     /// A last message to all that this member is leaving; none if another run has replaced this one.
     pub fn leave(&mut self, now: Micros) -> Vec<(Recipient, Vec<u8>)> {
         let mut out = vec![];
-        if self.superseded.is_none() && self.others() > 0 {
-            let note = GossipMessage { next: 0, ..self.head(now) };
-            self.post(Recipient::All, note, MessageKind::Beat, &mut out);
+        if self.superseded.is_none() && self.other_count() > 0 {
+            let message = GossipMessage { next: 0, ..self.new_message(now) };
+            self.queue(Recipient::All, message, MessageKind::Beat, &mut out);
         }
         out
     }
 
-    fn others(&self) -> usize {
+    fn other_count(&self) -> usize {
         self.members.len() - 1
     }
 
     fn reserve(&self) -> Reserve {
-        let others = self.others() as f64;
-        Reserve { at: self.beat_at, notes: others, bytes: others * self.start.reserved_bytes() as f64 }
+        let others = self.other_count() as f64;
+        Reserve {
+            at: self.next_beat_at,
+            messages: others,
+            bytes: others * self.slow_start.reserved_bytes() as f64,
+        }
     }
 
-    fn fade(&mut self, now: Micros) {
-        let shelves = &mut self.shelves;
-        let mut gone = 0;
-        self.fading.retain(|owner| {
-            let shelf = &mut shelves[usize::from(*owner)];
-            let len = shelf.items.len();
-            shelf.fade(now);
-            gone += len - shelf.items.len();
-            now < shelf.former_until
+    fn expire_previous(&mut self, now: Micros) {
+        let owners = &mut self.owners;
+        let mut expired = 0;
+        self.owners_with_previous.retain(|owner| {
+            let entries = &mut owners[usize::from(*owner)];
+            let len = entries.items.len();
+            entries.expire_previous(now);
+            expired += len - entries.items.len();
+            now < entries.previous_until
         });
-        self.held -= gone;
+        self.stored_entries -= expired;
     }
 
-    fn head(&self, now: Micros) -> GossipMessage {
+    fn new_message(&self, now: Micros) -> GossipMessage {
         // A heartbeat is at most a tenth later than its usual interval.
-        let next = (self.beat.0 / 90_000).clamp(1, u64::from(u16::MAX)) as u16;
-        let (from, incarnation, top) = (self.me, self.incarnation, self.own.shelf.top);
+        let next = (self.beat_interval.0 / 90_000).clamp(1, u64::from(u16::MAX)) as u16;
+        let (from, incarnation, top) = (self.me, self.incarnation, self.local.entries.top);
         GossipMessage {
             from,
             incarnation,
-            at: (now - self.born).0 / 1_000,
+            at: (now - self.started_at).0 / 1_000,
             next,
             top,
             ..GossipMessage::default()
         }
     }
 
-    fn post(
-        &mut self, to: Recipient, mut note: GossipMessage, kind: MessageKind,
+    fn queue(
+        &mut self, to: Recipient, mut message: GossipMessage, kind: MessageKind,
         out: &mut Vec<(Recipient, Vec<u8>)>,
     ) {
-        note.top = self.own.shelf.top;
-        let Some(bytes) = codec::encode(self.config.cluster, &note) else { return };
-        let receivers = if to == Recipient::All { self.others() } else { 1 };
+        message.top = self.local.entries.top;
+        let Some(bytes) = codec::encode(self.config.cluster, &message) else { return };
+        let receivers = if to == Recipient::All { self.other_count() } else { 1 };
         self.budget.spend(receivers, bytes.len());
         self.counts.notes += receivers as u64;
         self.counts.bytes += (receivers * bytes.len()) as u64;
@@ -131,177 +136,189 @@
     }
 
     /// Bytes left in this message, less 2 for list lengths that may grow.
-    fn left(&self, note: &GossipMessage, room: usize) -> usize {
-        room.saturating_sub(HEADER_BYTES + encoded_len(note) + 2)
+    fn remaining_bytes(&self, message: &GossipMessage, room: usize) -> usize {
+        room.saturating_sub(HEADER_BYTES + encoded_len(message) + 2)
     }
 
-    fn beat(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) {
-        let none = Reserve { at: now, notes: 0.0, bytes: 0.0 };
-        let mut note = self.head(now);
-        let known: Vec<u16> = (0..self.members.len() as u16).filter(|o| self.known(*o)).collect();
+    fn send_beat(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) {
+        let no_reserve = Reserve { at: now, messages: 0.0, bytes: 0.0 };
+        let mut message = self.new_message(now);
+        let known: Vec<u16> = (0..self.members.len() as u16).filter(|o| self.is_known(*o)).collect();
         let first = if known.is_empty() { 0 } else { self.rng.next_u32() as usize % known.len() };
         // The stride is random too, so that the same members are not always sent together.
         let stride = if known.len() <= MAX_DIGESTS_PER_BEAT { 1 } else { known.len() / MAX_DIGESTS_PER_BEAT };
         let drawn =
             (0..MAX_DIGESTS_PER_BEAT.min(known.len())).map(|i| known[(first + i * stride) % known.len()]);
-        let news: Vec<MemberDigest> = drawn.map(|owner| self.news(now, owner)).collect();
-        let quiet = HEADER_BYTES + encoded_len(&note) + news.iter().map(encoded_len).sum::<usize>() + 2;
-        let least = self.start.min_beat_bytes(quiet, !(self.own.dirty.is_empty() && self.chases.is_empty()));
-        let beats = self.others() as f64 / self.beat.secs();
-        self.budget.set_byte_rate(self.start.rate(1.5 * beats * MIN_BEAT_BYTES as f64));
-        let room =
-            self.budget.available_bytes(self.others(), none).clamp(least, self.config.max_datagram_bytes);
-        let for_news = if self.others() > 1 { encoded_len(&self.news(now, self.me)) + 8 } else { 0 };
-        let left = self.left(&note, room).saturating_sub(for_news);
-        note.blocks.extend(self.own.changes(now, self.me, left));
-        for news in news {
-            if encoded_len(&news) <= self.left(&note, room) {
-                note.tops.push(news);
+        let digests: Vec<MemberDigest> = drawn.map(|owner| self.digest(now, owner)).collect();
+        let quiet_bytes =
+            HEADER_BYTES + encoded_len(&message) + digests.iter().map(encoded_len).sum::<usize>() + 2;
+        let min_bytes = self
+            .slow_start
+            .min_beat_bytes(quiet_bytes, !(self.local.dirty.is_empty() && self.repairs.is_empty()));
+        let beats = self.other_count() as f64 / self.beat_interval.secs();
+        self.budget.set_byte_rate(self.slow_start.rate(1.5 * beats * MIN_BEAT_BYTES as f64));
+        let room = self
+            .budget
+            .available_bytes(self.other_count(), no_reserve)
+            .clamp(min_bytes, self.config.max_datagram_bytes);
+        let digest_reserve =
+            if self.other_count() > 1 { encoded_len(&self.digest(now, self.me)) + 8 } else { 0 };
+        let left = self.remaining_bytes(&message, room).saturating_sub(digest_reserve);
+        message.blocks.extend(self.local.next_block(now, self.me, left));
+        for digest in digests {
+            if encoded_len(&digest) <= self.remaining_bytes(&message, room) {
+                message.tops.push(digest);
             }
         }
-        self.post(Recipient::All, note, MessageKind::Beat, out);
+        self.queue(Recipient::All, message, MessageKind::Beat, out);
         let spread = self.random();
-        self.beat_at = now + self.beat.scale(0.9 + 0.2 * spread);
+        self.next_beat_at = now + self.beat_interval.scale(0.9 + 0.2 * spread);
     }
 
-    fn known(&self, owner: u16) -> bool {
+    fn is_known(&self, owner: u16) -> bool {
         owner != self.me && self.members[usize::from(owner)].last_alive.is_some()
     }
 
-    fn news(&self, now: Micros, owner: u16) -> MemberDigest {
-        let (member, shelf) = (&self.members[usize::from(owner)], &self.shelves[usize::from(owner)]);
+    fn digest(&self, now: Micros, owner: u16) -> MemberDigest {
+        let (member, entries) = (&self.members[usize::from(owner)], &self.owners[usize::from(owner)]);
         let age = (now - member.last_alive.unwrap_or(now)).0 / 100_000;
         // Entries that can't be passed on are not announced: they would be requested.
-        let top = if shelf.partial { 0 } else { shelf.seen };
+        let top = if entries.partial { 0 } else { entries.seen };
         let age = age.min(u64::from(u32::MAX)) as u32;
         MemberDigest { owner, incarnation: member.incarnation, top, stamp: member.stamp, age }
     }
 
-    fn change_least(&self) -> usize {
-        (self.own.wanted() + 32).clamp(MIN_BEAT_BYTES, self.config.max_datagram_bytes * 3 / 4)
+    fn min_change_bytes(&self) -> usize {
+        (self.local.pending_bytes() + 32).clamp(MIN_BEAT_BYTES, self.config.max_datagram_bytes * 3 / 4)
     }
 
-    fn change(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
-        let Some(since) = self.own.dirty.values().min() else { return false };
-        let room =
-            self.budget.available_bytes(self.others(), self.reserve()).min(self.config.max_datagram_bytes);
-        if now < *since + self.config.batch_delay || room < self.change_least() {
+    fn send_changes(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
+        let Some(since) = self.local.dirty.values().min() else { return false };
+        let room = self
+            .budget
+            .available_bytes(self.other_count(), self.reserve())
+            .min(self.config.max_datagram_bytes);
+        if now < *since + self.config.batch_delay || room < self.min_change_bytes() {
             return false;
         }
-        let mut note = self.head(now);
-        let left = self.left(&note, room);
-        let Some(block) = self.own.changes(now, self.me, left) else { return false };
-        note.blocks.push(block);
-        self.post(Recipient::All, note, MessageKind::Change, out);
+        let mut message = self.new_message(now);
+        let left = self.remaining_bytes(&message, room);
+        let Some(block) = self.local.next_block(now, self.me, left) else { return false };
+        message.blocks.push(block);
+        self.queue(Recipient::All, message, MessageKind::Change, out);
         true
     }
 
     /// Sends one message that repairs losses.
-    fn repair(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
+    fn send_repair(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let room = self.budget.available_bytes(1, self.reserve()).min(self.config.max_datagram_bytes);
         room >= MIN_UNICAST_BYTES
-            && (self.say_old(now, out)
-                || self.speak(now, room, out)
-                || self.ask(now, room, out)
-                || self.answer(now, room, out))
+            && (self.notify_outdated(now, out)
+                || self.send_direct(now, room, out)
+                || self.send_request(now, room, out)
+                || self.send_answer(now, room, out))
     }
 
     /// Sends direct updates to one member.
-    fn speak(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
+    fn send_direct(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         let members = &self.members;
-        let there = |to: u16| members[usize::from(to)].status(now) == MemberStatus::Alive;
-        let Some(to) = self.private.next(now, there) else { return false };
-        let (mut note, spread) = (self.head(now), self.random());
-        let room = self.left(&note, room);
-        let life = self.members[usize::from(to)].incarnation;
-        note.private = self.private.speak(now, to, life, room, spread);
-        let speaks = note.private.is_some();
-        if speaks {
-            self.post(Recipient::One(to), note, MessageKind::Direct, out);
+        let reachable = |to: u16| members[usize::from(to)].status(now) == MemberStatus::Alive;
+        let Some(to) = self.direct.next_recipient(now, reachable) else { return false };
+        let (mut message, spread) = (self.new_message(now), self.random());
+        let room = self.remaining_bytes(&message, room);
+        let incarnation = self.members[usize::from(to)].incarnation;
+        message.private = self.direct.build_payload(now, to, incarnation, room, spread);
+        let has_payload = message.private.is_some();
+        if has_payload {
+            self.queue(Recipient::One(to), message, MessageKind::Direct, out);
         }
-        speaks
+        has_payload
     }
 
-    fn say_old(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
-        let Some(member) = self.tell.pop_first() else { return false };
-        let mut note = self.head(now);
-        note.tops.push(self.news(now, member));
-        self.post(Recipient::One(member), note, MessageKind::Answer, out);
+    fn notify_outdated(&mut self, now: Micros, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
+        let Some(member) = self.to_notify.pop_first() else { return false };
+        let mut message = self.new_message(now);
+        message.tops.push(self.digest(now, member));
+        self.queue(Recipient::One(member), message, MessageKind::Answer, out);
         true
     }
 
     /// Whom to ask: the owner if it is heard directly, alternating with a member that announced something
     /// newer.
-    fn holder(&self, now: Micros, owner: u16, chase: &Chase) -> u16 {
-        let near = self.members[usize::from(owner)].is_direct(now);
-        let there = |p: &u16| self.members[usize::from(*p)].status(now) == MemberStatus::Alive;
-        match chase.teller.filter(there) {
-            Some(teller) if !near || chase.tries % 2 == 1 => teller,
+    fn request_target(&self, now: Micros, owner: u16, repair: &Repair) -> u16 {
+        let heard_directly = self.members[usize::from(owner)].is_direct(now);
+        let reachable = |p: &u16| self.members[usize::from(*p)].status(now) == MemberStatus::Alive;
+        match repair.source.filter(reachable) {
+            Some(source) if !heard_directly || repair.attempts % 2 == 1 => source,
             _ => owner,
         }
     }
 
-    fn ask(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
-        let due = self.chases.iter().filter(|(_, c)| c.due <= now);
-        let due: Vec<_> = due.map(|(o, c)| (*o, self.holder(now, *o, c))).collect();
+    fn send_request(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
+        let due = self.repairs.iter().filter(|(_, repair)| repair.due <= now);
+        let due: Vec<_> =
+            due.map(|(owner, repair)| (*owner, self.request_target(now, *owner, repair))).collect();
         let Some(&(_, to)) = due.first() else { return false };
-        let mut note = self.head(now);
-        for (owner, _) in due.iter().filter(|(_, holder)| *holder == to) {
-            let ask: EntryRequest = self.shelves[usize::from(*owner)].ask(*owner);
-            if encoded_len(&ask) > self.left(&note, room) {
+        let mut message = self.new_message(now);
+        for (owner, _) in due.iter().filter(|(_, target)| *target == to) {
+            let request: EntryRequest = self.owners[usize::from(*owner)].request(*owner);
+            if encoded_len(&request) > self.remaining_bytes(&message, room) {
                 break;
             }
-            note.asks.push(ask);
+            message.asks.push(request);
             let spread = self.random();
-            if let Some(chase) = self.chases.get_mut(owner) {
-                chase.due = now + chase.wait.scale(0.75 + 0.5 * spread);
-                chase.wait = (chase.wait + chase.wait).min(MAX_RETRY_DELAY);
-                chase.tries += 1;
+            if let Some(repair) = self.repairs.get_mut(owner) {
+                repair.due = now + repair.retry_delay.scale(0.75 + 0.5 * spread);
+                repair.retry_delay = (repair.retry_delay + repair.retry_delay).min(MAX_RETRY_DELAY);
+                repair.attempts += 1;
             }
         }
-        self.post(Recipient::One(to), note, MessageKind::Request, out);
+        self.queue(Recipient::One(to), message, MessageKind::Request, out);
         true
     }
 
-    fn answer(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
+    fn send_answer(&mut self, now: Micros, room: usize, out: &mut Vec<(Recipient, Vec<u8>)>) -> bool {
         // Round-robin over the requesters.
-        let after = self.answered.saturating_add(1);
-        let mut next = self.answers.range((after, 0)..).chain(&self.answers);
+        let after = self.last_answered.saturating_add(1);
+        let mut next = self.queued_requests.range((after, 0)..).chain(&self.queued_requests);
         let Some((&(to, _), _)) = next.next() else { return false };
-        self.answered = to;
-        let mut note = self.head(now);
-        let asked: Vec<_> =
-            self.answers.range((to, 0)..=(to, u16::MAX)).map(|(k, ask)| (k.1, *ask)).collect();
-        for (owner, mut ask) in asked {
-            let mine = owner == self.me;
-            let shelf = if mine { &self.own.shelf } else { &self.shelves[usize::from(owner)] };
-            let seen = shelf.seen;
-            let left = self.left(&note, room);
-            let block = shelf.answer(now, &ask, left, |k| mine && self.own.dirty.contains_key(k));
+        self.last_answered = to;
+        let mut message = self.new_message(now);
+        let requests: Vec<_> = self
+            .queued_requests
+            .range((to, 0)..=(to, u16::MAX))
+            .map(|(k, request)| (k.1, *request))
+            .collect();
+        for (owner, mut request) in requests {
+            let is_own = owner == self.me;
+            let entries = if is_own { &self.local.entries } else { &self.owners[usize::from(owner)] };
+            let seen = entries.seen;
+            let left = self.remaining_bytes(&message, room);
+            let block = entries.answer(now, &request, left, |k| is_own && self.local.dirty.contains_key(k));
             match block {
                 Some(block) if block.to < seen => {
                     match block.swept {
-                        0 => ask.have = block.to,
-                        swept => ask.sweep = (block.to, swept),
+                        0 => request.have = block.to,
+                        swept => request.sweep = (block.to, swept),
                     }
-                    self.answers.insert((to, owner), ask);
-                    note.blocks.push(block);
+                    self.queued_requests.insert((to, owner), request);
+                    message.blocks.push(block);
                     break;
                 }
                 Some(block) => {
-                    self.answers.remove(&(to, owner));
-                    note.blocks.push(block);
+                    self.queued_requests.remove(&(to, owner));
+                    message.blocks.push(block);
                 }
                 // If the block doesn't fit beside others, it goes into the next message. If it doesn't fit an
                 // empty one, there is nothing to answer.
-                None if !note.blocks.is_empty() => break,
+                None if !message.blocks.is_empty() => break,
                 None => {
-                    self.answers.remove(&(to, owner));
+                    self.queued_requests.remove(&(to, owner));
                 }
             }
         }
-        if !note.blocks.is_empty() {
-            self.post(Recipient::One(to), note, MessageKind::Answer, out);
+        if !message.blocks.is_empty() {
+            self.queue(Recipient::One(to), message, MessageKind::Answer, out);
         }
         true
     }
--- a/src/peers/view.rs
+++ b/src/peers/view.rs
@@ -58,7 +58,7 @@
     pub standing: MemberStatus,
     /// Since when it has this state.
     pub since: Micros,
-    /// The incarnation of its run; 0 if nothing was ever heard.
+    /// The incarnation of its run; 0 if nothing was ever received.
     pub incarnation: u64,
     /// The latest time at which it is known to have been alive, from itself or through others.
     pub last_alive: Option<Micros>,
@@ -66,7 +66,7 @@
     pub last_direct: Option<Micros>,
     /// The send time of this member's newest message that the other is known to have heard of, directly or
     /// through others. In a large fleet it reports this seldom; if no member has for several heartbeats, this
-    /// member is not being heard.
+    /// member is not being received.
     pub last_heard_own: Option<Micros>,
     /// No entry that it has announced is missing here.
     pub whole: bool,
@@ -129,27 +129,27 @@
     /// [`super::codec::MAX_VALUE_BYTES`] or there are already [`super::entries::MAX_ENTRIES_PER_OWNER`]
     /// others.
     pub fn set(&mut self, now: Micros, kind: u8, id: u32, value: &[u8]) -> bool {
-        value.len() <= super::codec::MAX_VALUE_BYTES && self.own.set(now, (kind, id), Some(value))
+        value.len() <= super::codec::MAX_VALUE_BYTES && self.local.set(now, (kind, id), Some(value))
     }
 
     /// Removes an entry.
     pub fn remove(&mut self, now: Micros, kind: u8, id: u32) {
-        self.own.set(now, (kind, id), None);
+        self.local.set(now, (kind, id), None);
     }
 
     /// Sends an update to one member alone until it is acknowledged, at most until `until`; it replaces the
     /// one to it with this kind and id. Returns false if the value is too long or there is no such member.
     pub fn send_to(&mut self, now: Micros, to: u16, kind: u8, id: u32, value: &[u8], until: Micros) -> bool {
-        let sound = value.len() <= super::codec::MAX_VALUE_BYTES
+        let valid = value.len() <= super::codec::MAX_VALUE_BYTES
             && to != self.me
             && usize::from(to) < self.members.len();
-        if sound {
-            self.private.say(now, to, kind, id, value, until);
+        if valid {
+            self.direct.send(now, to, kind, id, value, until);
         }
-        sound
+        valid
     }
 
-    /// Adds the traffic budget for handled messages.
+    /// Adds to the traffic budget for messages that this courier has handled.
     pub fn handled(&mut self, messages: u32) {
         self.budget.add_handled(messages);
     }
@@ -165,33 +165,33 @@
     /// Continues under a higher incarnation and publishes all entries anew.
     pub fn adopt_incarnation(&mut self, now: Micros, incarnation: u64) {
         if incarnation > self.incarnation {
-            (self.incarnation, self.born, self.superseded) = (incarnation, now, None);
-            self.own.adopt_incarnation(now, incarnation);
-            self.answers.retain(|(_, owner), _| *owner != self.me);
+            (self.incarnation, self.started_at, self.superseded) = (incarnation, now, None);
+            self.local.adopt_incarnation(now, incarnation);
+            self.queued_requests.retain(|(_, owner), _| *owner != self.me);
             // Sequence numbers of the previous run say nothing about this one.
-            self.private = super::direct::DirectUpdates::default();
+            self.direct = super::direct::DirectUpdates::default();
         }
     }
 
     /// Entries of this kind from other members, to all or to this member alone, without copying the others.
     pub fn get(&self, kind: u8) -> impl Iterator<Item = PeerEntry> + '_ {
-        let alone = self.private.of(kind).map(move |(owner, id, heard)| PeerEntry {
+        let direct = self.direct.of_kind(kind).map(move |(owner, id, received)| PeerEntry {
             owner,
             kind,
             id,
-            incarnation: heard.incarnation,
-            counter: heard.turn,
-            value: heard.value.clone(),
-            set_at: heard.set_at,
-            from_previous_run: heard.incarnation != self.shelves[usize::from(owner)].incarnation,
+            incarnation: received.incarnation,
+            counter: received.turn,
+            value: received.value.clone(),
+            set_at: received.set_at,
+            from_previous_run: received.incarnation != self.owners[usize::from(owner)].incarnation,
         });
-        self.said(kind, kind).chain(alone)
+        self.stored_entries(kind, kind).chain(direct)
     }
 
-    fn said(&self, least: u8, most: u8) -> impl Iterator<Item = PeerEntry> + '_ {
+    fn stored_entries(&self, least: u8, most: u8) -> impl Iterator<Item = PeerEntry> + '_ {
         let range = (least, 0)..=(most, u32::MAX);
-        self.shelves.iter().enumerate().flat_map(move |(owner, shelf)| {
-            shelf.items.range(range.clone()).filter_map(move |(key, held)| {
+        self.owners.iter().enumerate().flat_map(move |(owner, entries)| {
+            entries.items.range(range.clone()).filter_map(move |(key, held)| {
                 Some(PeerEntry {
                     owner: owner as u16,
                     kind: key.0,
@@ -200,7 +200,7 @@
                     counter: held.counter,
                     value: held.value.clone()?,
                     set_at: held.set_at,
-                    from_previous_run: held.incarnation != shelf.incarnation,
+                    from_previous_run: held.incarnation != entries.incarnation,
                 })
             })
         })
@@ -208,7 +208,7 @@
 
     /// The members by number; this member itself is alive and complete.
     pub fn member_views(&self, now: Micros) -> impl Iterator<Item = MemberView> + '_ {
-        self.members.iter().zip(&self.shelves).enumerate().map(move |(i, (member, shelf))| {
+        self.members.iter().zip(&self.owners).enumerate().map(move |(i, (member, entries))| {
             let (standing, since) = member.status_since(now);
             let Member { last_alive, last_direct, last_heard_own, incarnation, .. } = *member;
             let seen = MemberView {
@@ -218,12 +218,12 @@
                 last_alive,
                 last_direct,
                 last_heard_own,
-                whole: !shelf.lacks(),
+                whole: !entries.is_incomplete(),
             };
             match i == usize::from(self.me) {
                 true => MemberView {
                     standing: MemberStatus::Alive,
-                    since: self.born,
+                    since: self.started_at,
                     incarnation: self.incarnation,
                     last_alive: Some(now),
                     last_direct: Some(now),
@@ -241,7 +241,7 @@
             taken_at: now,
             me: self.me,
             members: self.member_views(now).collect(),
-            entries: self.said(0, u8::MAX).collect(),
+            entries: self.stored_entries(0, u8::MAX).collect(),
             superseded: self.superseded,
             counts: self.counts.clone(),
         }
@@ -270,6 +270,6 @@
 
     /// This member's heartbeat interval, which is longer in large fleets.
     pub fn beat_interval(&self) -> Micros {
-        self.beat
+        self.beat_interval
     }
 }
