--- a/tests/peers_entries.rs
+++ b/tests/peers_entries.rs
@@ -1,4 +1,4 @@
-//! Entries that couriers share, in virtual time: dropped ones, late ones, bounds, and what asks for them cost.
+//! Gossip entries in virtual time: removal, late messages, limits, and the traffic of requests.
 
 #[path = "support/notes.rs"]
 mod notes;
@@ -6,10 +6,10 @@
 use indigohold::peers::MemberStatus;
 use notes::{Net, S};
 
-/// Guards against dropped entries that live on at one who was away for longer than tombstones last, also where parts of the
-/// sweep are lost; and against more own entries than the bound.
+/// Guards against removed entries that survive at a member that was cut off for longer than tombstones are
+/// kept, also when parts of the sweep are lost, and against more own entries than the limit.
 #[test]
-fn what_was_dropped_is_gone_at_all() {
+fn removed_entries_disappear_everywhere() {
     for seed in 0..8 {
         let mut net = Net::new(3, seed, |_| {});
         for id in 0..60 {
@@ -26,16 +26,16 @@
         net.spoil = (40, 10);
         let left = |net: &Net, i| net.view(i).kind(4).count();
         let done = net.until(net.now + 120 * S, |n| left(n, 1) == 20 && left(n, 2) == 20);
-        assert!(done, "{} are left, seed {seed}", left(&net, 2));
+        assert!(done, "{} entries are left, seed {seed}", left(&net, 2));
         let full = net.at(0, |p, now| (0..100).filter(|id| p.set(now, 5, *id, b"x")).count());
         assert_eq!(full, 44);
         net.at(0, |p, now| assert!(!p.set(now, 0, 0, &[0; 49])));
     }
 }
 
-/// Guards against a note that was held up somewhere and makes old figures, and its sender, seem young.
+/// Guards against a delayed message that makes old entries, and its sender, seem recent.
 #[test]
-fn a_late_note_is_as_old_as_it_is() {
+fn late_message_keeps_its_age() {
     let mut net = Net::new(3, 4, |_| {});
     net.run(5 * S);
     net.link = Box::new(|a, _| a != 0);
@@ -54,9 +54,9 @@
     assert!(view.counts.late > 0);
 }
 
-/// Guards against a storm of answers to a storm of asks, and against an asker that is never answered.
+/// Guards against bursts of answers to a burst of requests, and against a requester that is never answered.
 #[test]
-fn asks_are_answered_within_the_budget() {
+fn requests_are_answered_within_the_budget() {
     use indigohold::peers::{cluster, codec, Config, Peers, Recipient};
     let config = Config { bytes_per_message: 0.0, ..Config::new(cluster(["here"])) };
     let mut peers = Peers::new(config, indigohold::Micros(0), 0, 40, 1, 6);
@@ -68,7 +68,7 @@
         let now = indigohold::Micros(tenth * 100_000);
         for from in (1..40).filter(|_| tenth > 300) {
             let asks = vec![codec::EntryRequest { owner: 0, incarnation: 1, have: 0, sweep: (0, 0) }];
-            let note = codec::GossipMessage {
+            let message = codec::GossipMessage {
                 from,
                 incarnation: 1,
                 at: tenth * 100,
@@ -76,11 +76,11 @@
                 asks,
                 ..Default::default()
             };
-            let note = codec::encode(cluster(["here"]), &note).expect("it is short");
-            assert_eq!(peers.receive(now, Some(from), &note), Ok(()));
+            let message = codec::encode(cluster(["here"]), &message).expect("shorter than the limit");
+            assert_eq!(peers.receive(now, Some(from), &message), Ok(()));
         }
-        for (to, note) in peers.tick(now) {
-            bytes += note.len() * if to == Recipient::All { 39 } else { 1 };
+        for (to, message) in peers.tick(now) {
+            bytes += message.len() * if to == Recipient::All { 39 } else { 1 };
             answered.extend(match to {
                 Recipient::One(one) => Some(one),
                 Recipient::All => None,
@@ -95,9 +95,9 @@
     assert_eq!(answered.len(), 39);
 }
 
-/// Guards against more being held than the bound, and against urgent kinds going first.
+/// Guards against storing more entries than the limit, and against evicting urgent kinds first.
 #[test]
-fn room_is_kept_by_giving_up_the_least_urgent() {
+fn least_urgent_entries_are_evicted_at_the_limit() {
     let mut net = Net::new(10, 2, |c| c.max_peer_entries = 100);
     for id in 0..15 {
         for i in 0..10 {
@@ -108,31 +108,33 @@
     for i in 0..10 {
         let view = net.view(i);
         assert!(view.entries.len() <= 100 && view.counts.given_up > 0);
-        assert_eq!(view.kind(1).count(), 45, "the urgent ones stay");
+        assert_eq!(view.kind(1).count(), 45, "urgent entries stay");
     }
 }
 
-/// Guards against one damaged or mad note that silences a member for ever: nobody would believe a number above it.
+/// Guards against one damaged or wrong message that silences a member for ever: no incarnation above it would
+/// be accepted.
 #[test]
-fn a_life_that_nobody_can_have_reached_takes_over_no_member() {
+fn unreachable_incarnation_replaces_no_member() {
     use indigohold::peers::codec::{encode, GossipMessage, MemberDigest};
     let mut net = Net::new(2, 8, |_| {});
-    let word = |incarnation, at| {
+    let message_of = |incarnation, at| {
         let tops = vec![MemberDigest { owner: 0, incarnation, top: 0, stamp: 1, age: 0 }];
-        let note = GossipMessage { from: 1, incarnation: 9, at, next: 20, tops, ..GossipMessage::default() };
-        encode(indigohold::peers::cluster(["here"]), &note).expect("it is short")
+        let message =
+            GossipMessage { from: 1, incarnation: 9, at, next: 20, tops, ..GossipMessage::default() };
+        encode(indigohold::peers::cluster(["here"]), &message).expect("shorter than the limit")
     };
     for (incarnation, over) in [(u64::MAX, None), (1 << 30, None), (70, Some(70))] {
         net.at(0, |p, now| {
-            assert!(p.receive(now, Some(1), &word(incarnation, incarnation % 100)).is_ok());
+            assert!(p.receive(now, Some(1), &message_of(incarnation, incarnation % 100)).is_ok());
             assert_eq!(p.superseded(), over);
         });
     }
 }
 
-/// Guards against panics and growth without bound on sound notes with unsound content.
+/// Guards against panics and unbounded growth on well-formed messages with arbitrary content.
 #[test]
-fn wild_notes_change_nothing_beyond_bounds() {
+fn arbitrary_messages_respect_the_limits() {
     use indigohold::peers::codec::{
         encode, DirectAck, DirectPayload, DirectUpdate, EntryBlock, EntryItem, EntryRequest, GossipMessage,
         MemberDigest,
@@ -142,50 +144,63 @@
     let mut net = Net::new(4, 8, |c| c.max_peer_entries = 90);
     let fleet = indigohold::peers::cluster(["here"]);
     for round in 0..20_000u64 {
-        let mut wild = || match rng.next_u32() % 4 {
+        let mut arbitrary = || match rng.next_u32() % 4 {
             0 => rng.next_u64(),
             1 => u64::MAX - u64::from(rng.next_u32() % 3),
             _ => u64::from(rng.next_u32() % 9),
         };
-        let (owner, incarnation) = (wild() as u16, wild());
-        let (from, many) = (wild(), wild() % 6);
+        let (owner, incarnation) = (arbitrary() as u16, arbitrary());
+        let (from, count) = (arbitrary(), arbitrary() % 6);
         let value = |step| (step % 3 > 0).then(|| vec![1; step as usize]);
-        let items = (1..many + 1).map(|step| EntryItem {
-            kind: wild() as u8,
-            id: wild() as u32,
+        let items = (1..count + 1).map(|step| EntryItem {
+            kind: arbitrary() as u8,
+            id: arbitrary() as u32,
             step,
-            age: wild() as u32,
+            age: arbitrary() as u32,
             value: value(step),
         });
         let items = items.collect();
-        let to = from.saturating_add(many);
-        let note = GossipMessage {
-            from: wild() as u16 % 6,
-            incarnation: wild(),
-            at: wild(),
-            next: wild() as u16,
-            top: wild(),
-            tops: vec![MemberDigest { owner, incarnation, top: wild(), stamp: wild(), age: wild() as u32 }],
+        let to = from.saturating_add(count);
+        let message = GossipMessage {
+            from: arbitrary() as u16 % 6,
+            incarnation: arbitrary(),
+            at: arbitrary(),
+            next: arbitrary() as u16,
+            top: arbitrary(),
+            tops: vec![MemberDigest {
+                owner,
+                incarnation,
+                top: arbitrary(),
+                stamp: arbitrary(),
+                age: arbitrary() as u32,
+            }],
             asks: vec![EntryRequest {
-                owner: wild() as u16,
-                incarnation: wild(),
-                have: wild(),
-                sweep: (wild(), wild()),
+                owner: arbitrary() as u16,
+                incarnation: arbitrary(),
+                have: arbitrary(),
+                sweep: (arbitrary(), arbitrary()),
+            }],
+            blocks: vec![EntryBlock {
+                owner,
+                incarnation,
+                from,
+                to,
+                swept: arbitrary() % 2 * arbitrary(),
+                items,
             }],
-            blocks: vec![EntryBlock { owner, incarnation, from, to, swept: wild() % 2 * wild(), items }],
             private: (round % 2 == 0).then(|| DirectPayload {
-                to_life: wild() % 3,
-                taken: vec![DirectAck { kind: wild() as u8, id: wild() as u32, turn: wild() }],
+                to_life: arbitrary() % 3,
+                taken: vec![DirectAck { kind: arbitrary() as u8, id: arbitrary() as u32, turn: arbitrary() }],
                 words: vec![DirectUpdate {
-                    kind: wild() as u8,
-                    id: wild() as u32,
-                    turn: wild(),
-                    age: wild() as u32,
+                    kind: arbitrary() as u8,
+                    id: arbitrary() as u32,
+                    turn: arbitrary(),
+                    age: arbitrary() as u32,
                     value: vec![1; 9],
                 }],
             }),
         };
-        let Some(bytes) = encode(fleet, &note) else { continue };
+        let Some(bytes) = encode(fleet, &message) else { continue };
         net.at(0, |p, now| {
             let _ = p.receive(now + indigohold::Micros(round * 1_000), None, &bytes);
             p.tick(now + indigohold::Micros(round * 1_000));
--- a/tests/support/notes.rs
+++ b/tests/support/notes.rs
@@ -1,4 +1,5 @@
-//! A network of notes in virtual time: loss, doubling, delay (so also order), cuts and one-way links, clocks that run apart.
+//! A simulated gossip network in virtual time: loss, duplication, delay (and with it reordering), cut and
+//! one-way links, and clocks at different rates.
 
 use indigohold::peers::{cluster, Config, Peers, Recipient, Snapshot};
 use indigohold::Micros;
@@ -6,27 +7,27 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// A second.
+/// One second.
 pub const S: u64 = 1_000_000;
 
-/// Whether a note from the first to the second passes.
+/// Whether a message from the first to the second member passes.
 pub type Link = Box<dyn Fn(u16, u16) -> bool>;
 
-/// The network and all that are on it.
+/// The network and its members.
 pub struct Net {
-    /// Time, outside.
+    /// The simulation's time.
     pub now: u64,
-    /// Members; none while one is down.
+    /// The members; `None` while one is down.
     pub nodes: Vec<Option<Peers>>,
-    /// Odds of a loss and of a second copy, out of 100.
+    /// Percentages of lost and of duplicated messages.
     pub spoil: (u32, u32),
-    /// From and up to how long a note takes.
+    /// Smallest and largest delay of a message.
     pub delay: (u64, u64),
-    /// Which links there are.
+    /// Which links work.
     pub link: Link,
-    /// Notes and bytes sent since this was last emptied, receivers counted.
+    /// Messages and bytes sent since this was last reset, counting each receiver.
     pub sent: (u64, u64),
-    /// What was sent lately, to be played again: sender, receiver and bytes.
+    /// Messages sent recently, for replay: sender, receiver and bytes.
     pub seen: Vec<(u16, u16, Vec<u8>)>,
     under_way: BTreeMap<(u64, u64), (u16, u16, Vec<u8>)>,
     rng: Pcg64Mcg,
@@ -36,7 +37,7 @@
 }
 
 impl Net {
-    /// So many members, which start at once.
+    /// Creates `n` members, which start at once.
     pub fn new(n: usize, seed: u64, config: impl Fn(&mut Config)) -> Net {
         let mut rules = Config::new(cluster(["here"]));
         config(&mut rules);
@@ -58,14 +59,14 @@
         net
     }
 
-    /// A life begins, with an incarnation above all before.
+    /// Starts a run of a member, with an incarnation above all before.
     pub fn start(&mut self, i: usize) {
         self.life += 1;
         let (now, seed, life) = (self.local(i), self.rng.next_u64(), self.life);
         self.nodes[i] = Some(Peers::new(self.config.clone(), now, i as u16, self.nodes.len(), life, seed));
     }
 
-    /// What time it is at one of them: each clock has an offset, and those of odd ones run 1 % faster.
+    /// The local time of a member: each clock has an offset, and those with odd numbers run 1 % faster.
     pub fn local(&self, i: usize) -> Micros {
         Micros(i as u64 * 7_777_777 + self.now + if i % 2 == 1 { self.now / 100 } else { 0 })
     }
@@ -85,7 +86,7 @@
         self.rng.next_u32() % 100 < percent
     }
 
-    /// Sends bytes over a link, with all that can befall them.
+    /// Sends bytes over a link, which may lose, duplicate or delay them.
     pub fn post(&mut self, from: u16, to: u16, bytes: &[u8]) {
         self.sent = (self.sent.0 + 1, self.sent.1 + bytes.len() as u64);
         let copies = 1 + u32::from(self.chance(self.spoil.1));
@@ -116,7 +117,7 @@
         }
     }
 
-    /// On until then, or until this holds, which is looked at each 10 ms. True if it did.
+    /// Runs until `end`, or until `holds` returns true, which is checked every 10 ms. Returns whether it did.
     pub fn until(&mut self, end: u64, holds: impl Fn(&Net) -> bool) -> bool {
         let mut wakes: BTreeMap<(u64, usize), ()> = BTreeMap::new();
         let mut wake = vec![0; self.nodes.len()];
@@ -158,18 +159,18 @@
         holds(self)
     }
 
-    /// On for so long.
+    /// Runs for this long.
     pub fn run(&mut self, time: u64) {
         self.until(self.now + time, |_| false);
     }
 
-    /// One of them, at its own time.
+    /// Calls `act` on a member at its local time.
     pub fn at<T>(&mut self, i: usize, act: impl FnOnce(&mut Peers, Micros) -> T) -> T {
         let now = self.local(i);
         act(self.nodes[i].as_mut().expect("it is up"), now)
     }
 
-    /// What one of them sees.
+    /// A member's snapshot.
     pub fn view(&self, i: usize) -> Snapshot {
         self.nodes[i].as_ref().expect("it is up").snapshot(self.local(i))
     }
