--- a/src/net/peers/riders.rs
+++ b/src/net/peers/riders.rs
@@ -56,6 +56,6 @@
     let terms =
         Terms { matters: place.matters, ..Terms::exactly(u32::try_from(place.n).unwrap_or(u32::MAX)) };
     let (now, desk) = (courier.clock.now(), courier.sharing.clone());
-    all.push(Box::new(Sharing::new(now, place.me, place.incarnation, terms, Start::Again, desk)));
+    all.push(Box::new(Sharing::new(now, place.me, place.incarnation, terms, Start::Restart, desk)));
     all
 }
--- a/src/shared/judgement.rs
+++ b/src/shared/judgement.rs
@@ -366,5 +366,5 @@
 /// What a cold endpoint may get from this courier, calls a second: its pace for the whole fleet times the units of the
 /// destination's lease that are in force here. The sum over the fleet is the pace at most, as the lease's sum is.
 pub fn cold_pace(pace: f64, in_force: u32) -> f64 {
-    pace * f64::from(in_force) / f64::from(super::lease::WHOLE)
+    pace * f64::from(in_force) / f64::from(super::lease::LIMIT_UNITS)
 }
--- a/src/shared/sharing/beliefs.rs
+++ b/src/shared/sharing/beliefs.rs
@@ -2,7 +2,7 @@
 
 use crate::api::{EndpointId, Micros, TenantId};
 use crate::shared::judgement::{Belief, Judged};
-use crate::shared::lease::WHOLE;
+use crate::shared::lease::LIMIT_UNITS;
 use std::collections::BTreeMap;
 
 /// Below a quota that the fleet has used up, a courier's part is never under this share of the even one.
@@ -70,7 +70,7 @@
         // Danger: parts of a limit that nobody fills keep messages waiting behind a pace of their own, while others' parts lie
         // idle; where each has a message a second, many come too late by that. So what is free is nobody's part.
         let room = self.room.get(&dest).filter(|(_, until)| now < *until).map_or(0, |(units, _)| *units);
-        Some(f64::from(room.max(*units)) / f64::from(WHOLE))
+        Some(f64::from(room.max(*units)) / f64::from(LIMIT_UNITS))
     }
 
     /// When [`Beliefs::share_of`] next changes for any destination.
--- a/src/shared/sharing/hear.rs
+++ b/src/shared/sharing/hear.rs
@@ -6,7 +6,7 @@
 use crate::peers::payload::kinds;
 use crate::peers::{PeerEntry, Peers};
 use crate::shared::counts::{CounterKey, Tally};
-use crate::shared::lease::{Back, Loan, Want};
+use crate::shared::lease::{Demand, Loan, LoanAck};
 use crate::shared::{Member, Version};
 use serde::de::DeserializeOwned;
 
@@ -41,21 +41,21 @@
         let version = Version { run: said.incarnation, counter: said.counter };
         match said.kind {
             kinds::DEMAND => {
-                let Some(want) = self.read::<Want>(said) else { return };
-                let dest = u16::try_from(said.id).ok().filter(|_| words::sound_want(&want));
+                let Some(demand) = self.read::<Demand>(said) else { return };
+                let dest = u16::try_from(said.id).ok().filter(|_| words::is_valid_demand(&demand));
                 match dest.and_then(|dest| self.lease(dest)) {
-                    Some(lease) => lease.heard_want(now, from, version, want),
+                    Some(lease) => lease.receive_demand(now, from, version, demand),
                     None => self.dropped.foreign += 1,
                 }
             }
             kinds::LOAN => {
                 let Some((dest, loan)) = self.for_me::<Loan>(said) else { return };
-                let taken = self.lease(dest).is_some_and(|l| l.heard_loan(now, from, version, loan));
+                let taken = self.lease(dest).is_some_and(|l| l.receive_loan(now, from, version, loan));
                 self.dropped.old += u64::from(!taken);
             }
             kinds::LOAN_ACK => {
-                let Some((dest, back)) = self.for_me::<Back>(said) else { return };
-                self.lease(dest).into_iter().for_each(|l| l.heard_back(from, back));
+                let Some((dest, ack)) = self.for_me::<LoanAck>(said) else { return };
+                self.lease(dest).into_iter().for_each(|l| l.receive_ack(from, ack));
             }
             kinds::COUNTERS => {
                 let Some(tally) = self.read::<Tally>(said) else { return };
--- a/src/shared/sharing/mod.rs
+++ b/src/shared/sharing/mod.rs
@@ -20,7 +20,7 @@
 use crate::peers::Peers;
 use crate::shared::counts::{self, CounterKey, Counts};
 use crate::shared::judgement::{self, Evidence, Hand, Judgements, Saw};
-use crate::shared::lease::{self, Lease, Said, Start, WHOLE};
+use crate::shared::lease::{self, Lease, LeaseMessage, Start, LIMIT_UNITS};
 use crate::shared::Member;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -67,7 +67,7 @@
     /// What is shared at all.
     pub matters: Matters,
     /// Of each destination's limit.
-    pub lease: lease::Terms,
+    pub lease: lease::LeaseSettings,
     /// Of the counts.
     pub counts: counts::CountSettings,
     /// Of the judgements.
@@ -78,7 +78,10 @@
     /// For exactly `n` couriers: what is said to all comes less often with more of them, so that its price stays.
     pub fn exactly(n: u32) -> Terms {
         let more = |each: u64| Micros(u64::from(n.max(1)) * each);
-        let lease = lease::Terms { term: Micros(1_200_000) + more(100_000), ..lease::Terms::exactly(n) };
+        let lease = lease::LeaseSettings {
+            loan_term: Micros(1_200_000) + more(100_000),
+            ..lease::LeaseSettings::exactly(n)
+        };
         let every = Micros(500_000).max(more(50_000));
         let counts = counts::CountSettings {
             publish_interval: every,
@@ -92,9 +95,6 @@
     }
 }
 
-/// How a life begins, for its leases.
-pub use crate::shared::lease::Start as Life;
-
 /// The rider.
 pub struct Sharing {
     desk: Arc<Desk>,
@@ -172,7 +172,7 @@
 
     /// For one alone, for as long as it can be in force.
     fn tell<T: For + Serialize>(&mut self, now: Micros, peers: &mut Peers, kind: u8, dest: u16, word: &T) {
-        let (id, until) = (words::pair(dest, word.to()), now + self.terms.lease.term);
+        let (id, until) = (words::pair(dest, word.to()), now + self.terms.lease.loan_term);
         let told = peers.send_to(now, word.to() as u16, kind, id, &words::encode(word), until);
         self.dropped.no_room += u64::from(!told);
     }
@@ -257,7 +257,7 @@
         let top: BTreeMap<u16, u32> = most
             .iter()
             .take(BUDGETS)
-            .map(|(demand, dest, limit)| (*dest, (demand / limit * f64::from(WHOLE)) as u32))
+            .map(|(demand, dest, limit)| (*dest, (demand / limit * f64::from(LIMIT_UNITS)) as u32))
             .collect();
         for dest in top.keys() {
             self.lease(*dest);
@@ -268,30 +268,30 @@
             // each message counts alike, but for those beyond their tenants' quotas.
             let want = top.get(dest).copied().unwrap_or(0);
             let within = self.within.get(dest).map_or(1.0, |(_, share)| *share).max(BEYOND);
-            let worth = f64::from(want) * within * WORTHS / f64::from(WHOLE);
-            lease.demand(want, worth.clamp(1.0, WORTHS) as u8);
+            let worth = f64::from(want) * within * WORTHS / f64::from(LIMIT_UNITS);
+            lease.set_demand(want, worth.clamp(1.0, WORTHS) as u8);
             let mut said = Vec::new();
             lease.tick(now, &mut said);
             out.extend(said.into_iter().map(|said| (*dest, said)));
         }
-        let term = self.terms.lease.term;
+        let term = self.terms.lease.loan_term;
         for (dest, said) in out {
             match said {
                 // What nobody here wants is not said: it would cost an entry and a note to all.
                 // But that nothing is wanted any more is said once.
-                Said::Want(want) if top.contains_key(&dest) || self.wanting.contains(&dest) => {
-                    if want.want > 0 {
+                LeaseMessage::Demand(demand) if top.contains_key(&dest) || self.wanting.contains(&dest) => {
+                    if demand.units > 0 {
                         self.wanting.insert(dest);
                     } else {
                         self.wanting.remove(&dest);
                     }
                     let key = (kinds::DEMAND, u32::from(dest));
-                    self.set(now, peers, key, &words::encode(&want), term.scale(3.0));
+                    self.set(now, peers, key, &words::encode(&demand), term.scale(3.0));
                 }
-                Said::Want(_) => {}
+                LeaseMessage::Demand(_) => {}
                 // For one alone: nobody else can use them, and to all they cost the fleet's number of notes.
-                Said::Loan(loan) => self.tell(now, peers, kinds::LOAN, dest, &loan),
-                Said::Back(back) => self.tell(now, peers, kinds::LOAN_ACK, dest, &back),
+                LeaseMessage::Loan(loan) => self.tell(now, peers, kinds::LOAN, dest, &loan),
+                LeaseMessage::Ack(ack) => self.tell(now, peers, kinds::LOAN_ACK, dest, &ack),
             }
         }
     }
@@ -352,7 +352,7 @@
     fn tick(&mut self, now: Micros, peers: &mut Peers) -> Micros {
         if peers.incarnation() != self.life {
             // Danger: the same process under another number is a new life to all others, whose loans name the old one.
-            let start = Start::Again;
+            let start = Start::Restart;
             // What was passed on to another process stays so.
             let (open, (me, _)) = (self.desk.is_open(), peers.position());
             *self = Sharing::new(now, me, peers.incarnation(), self.terms.clone(), start, self.desk.clone());
--- a/src/shared/sharing/publish.rs
+++ b/src/shared/sharing/publish.rs
@@ -6,11 +6,11 @@
 use crate::peers::Peers;
 use crate::shared::counts::CounterKey;
 use crate::shared::judgement::{Belief, Trial};
-use crate::shared::lease::WHOLE;
+use crate::shared::lease::LIMIT_UNITS;
 use crate::shared::Member;
 
 /// Units of a limit up to which it is not full; and how long that holds after it was published.
-const FILLED: u64 = WHOLE as u64 / 100 * 85;
+const FILLED: u64 = LIMIT_UNITS as u64 / 100 * 85;
 const ROOM: Micros = Micros(1_000_000);
 /// Nor where a call was turned away so lately.
 const CALM: Micros = Micros(5_000_000);
@@ -19,7 +19,7 @@
 
 impl Sharing {
     pub(super) fn publish(&self, now: Micros, peers: &Peers) {
-        let members = self.terms.lease.most;
+        let members = self.terms.lease.max_couriers;
         let terms = &self.terms.counts;
         let matters = self.terms.matters;
         let tenants = self.facts.tenants.iter().filter(|_| matters.tenants).filter_map(|(tenant, _)| {
@@ -45,7 +45,7 @@
         });
         let whole = here.len() + 1 >= members as usize;
         let room = self.leases.iter().filter_map(|(dest, lease)| {
-            let (all, own) = lease.wanted();
+            let (all, own) = lease.total_and_own_demand();
             let calm = self.turned_away.get(dest).is_none_or(|at| *at + CALM < now);
             let free = FILLED.checked_sub(all).filter(|_| whole && calm)?;
             // Danger: if each took all that is free, a moment's waiting in all would put the destination in debt for long.
@@ -57,7 +57,7 @@
             at: now,
             members,
             tenants: tenants.collect(),
-            budgets: self.leases.iter().map(|(dest, lease)| (*dest, lease.course(now))).collect(),
+            budgets: self.leases.iter().map(|(dest, lease)| (*dest, lease.schedule(now))).collect(),
             endpoints: endpoints.collect(),
         });
     }
--- a/src/shared/sharing/words.rs
+++ b/src/shared/sharing/words.rs
@@ -2,7 +2,7 @@
 
 use crate::shared::counts::{CounterKey, Tally};
 use crate::shared::judgement::Evidence;
-use crate::shared::lease::{Back, Loan, Want, WHOLE};
+use crate::shared::lease::{Demand, Loan, LoanAck, LIMIT_UNITS};
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 
 /// Of this form; another is of a newer version.
@@ -43,8 +43,8 @@
 }
 
 /// Whether somebody can have said this of a limit.
-pub fn sound_want(want: &Want) -> bool {
-    [want.want, want.own, want.held, want.lent].iter().all(|units| *units <= WHOLE)
+pub fn is_valid_demand(demand: &Demand) -> bool {
+    [demand.units, demand.owned, demand.in_force, demand.lent].iter().all(|units| *units <= LIMIT_UNITS)
 }
 
 /// The number of a loan's or return's entry.
@@ -91,7 +91,7 @@
     }
 }
 
-impl For for Back {
+impl For for LoanAck {
     fn to(&self) -> u32 {
         self.to.0
     }
--- a/tests/lease_histories.rs
+++ b/tests/lease_histories.rs
@@ -1,14 +1,14 @@
 //! Leases in virtual time among 40, 300 and 1,000 couriers, with seeds: entries are lost, doubled, late and out of order, the
 //! fleet is split, couriers are stopped and go on, and are killed and begin again. The bound is looked at every 20 ms.
 
-use indigohold::shared::lease::{targets, Lease, Row, Said, Start, Terms, WHOLE};
+use indigohold::shared::lease::{targets, Lease, LeaseMessage, LeaseSettings, Row, Start, LIMIT_UNITS};
 use indigohold::shared::{Member, Version};
 use indigohold::Micros;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::BTreeMap;
 
-type Way = (usize, Option<usize>, Version, Said);
+type Way = (usize, Option<usize>, Version, LeaseMessage);
 
 const MS: u64 = 1_000;
 const STEP: u64 = 20 * MS;
@@ -26,7 +26,7 @@
 }
 
 struct Fleet {
-    terms: Terms,
+    terms: LeaseSettings,
     rng: Pcg32,
     now: u64,
     all: Vec<One>,
@@ -41,7 +41,7 @@
 }
 
 impl Fleet {
-    fn new(n: usize, terms: Terms, seed: u64, start: Start) -> Fleet {
+    fn new(n: usize, terms: LeaseSettings, seed: u64, start: Start) -> Fleet {
         let mut rng = Pcg32::seed_from_u64(seed);
         let all = (0..n)
             .map(|i| {
@@ -74,15 +74,15 @@
 
     fn want(&mut self, i: usize, units: u32) {
         self.all[i].want = units;
-        self.all[i].lease.demand(units, 1);
+        self.all[i].lease.set_demand(units, 1);
     }
 
     fn restart(&mut self, i: usize) {
         let (now, terms) = (self.clock(i), self.terms.clone());
         let one = &mut self.all[i];
         one.life += 1;
-        one.lease = Lease::new(Member(i as u32), one.life, now, terms, Start::Again);
-        one.lease.demand(one.want, 1);
+        one.lease = Lease::new(Member(i as u32), one.life, now, terms, Start::Restart);
+        one.lease.set_demand(one.want, 1);
     }
 
     fn in_force(&self) -> u64 {
@@ -90,18 +90,20 @@
         here.map(|i| u64::from(self.all[i].lease.in_force(self.clock(i)))).sum()
     }
 
-    fn deliver(&mut self, to: usize, from: usize, version: Version, said: &Said) {
+    fn deliver(&mut self, to: usize, from: usize, version: Version, said: &LeaseMessage) {
         if to == from || self.all[to].stopped || self.all[to].group != self.all[from].group {
             return;
         }
         let now = self.clock(to);
         match *said {
-            Said::Want(want) => self.all[to].lease.heard_want(now, Member(from as u32), version, want),
-            Said::Loan(loan) => {
+            LeaseMessage::Demand(demand) => {
+                self.all[to].lease.receive_demand(now, Member(from as u32), version, demand)
+            }
+            LeaseMessage::Loan(loan) => {
                 self.moved +=
-                    u64::from(self.all[to].lease.heard_loan(now, Member(from as u32), version, loan));
+                    u64::from(self.all[to].lease.receive_loan(now, Member(from as u32), version, loan));
             }
-            Said::Back(back) => self.all[to].lease.heard_back(Member(from as u32), back),
+            LeaseMessage::Ack(ack) => self.all[to].lease.receive_ack(Member(from as u32), ack),
         }
     }
 
@@ -121,9 +123,9 @@
                 self.said += 1;
                 let version = Version { run: one.life, counter: one.counter };
                 let to = match said {
-                    Said::Want(_) => None,
-                    Said::Loan(l) => Some(l.to.0 as usize),
-                    Said::Back(b) => Some(b.to.0 as usize),
+                    LeaseMessage::Demand(_) => None,
+                    LeaseMessage::Loan(l) => Some(l.to.0 as usize),
+                    LeaseMessage::Ack(r) => Some(r.to.0 as usize),
                 };
                 let copies = 1 + u64::from(self.rng.next_u32() % 1_000 < self.doubled);
                 for _ in 0..copies {
@@ -142,7 +144,7 @@
             }
         }
         let sum = self.in_force();
-        assert!(sum <= u64::from(WHOLE), "{sum} in force at {} ms", self.now / MS);
+        assert!(sum <= u64::from(LIMIT_UNITS), "{sum} in force at {} ms", self.now / MS);
     }
 
     fn run(&mut self, ms: u64) {
@@ -154,14 +156,14 @@
         let rows: Vec<Row> = (0..self.all.len())
             .map(|i| Row {
                 member: Member(i as u32),
-                want: self.all[i].want,
-                worth: 1,
-                own: self.terms.safe(),
-                held: 0,
+                demand: self.all[i].want,
+                weight: 1,
+                owned: self.terms.safe_share(),
+                in_force: 0,
                 lent: 0,
             })
             .collect();
-        let best: u64 = targets(&rows).iter().zip(&rows).map(|(t, r)| u64::from(*t.min(&r.want))).sum();
+        let best: u64 = targets(&rows).iter().zip(&rows).map(|(t, r)| u64::from(*t.min(&r.demand))).sum();
         let have = |i: usize| u64::from(self.all[i].lease.in_force(self.clock(i)).min(self.all[i].want));
         (0..self.all.len()).map(have).sum::<u64>() as f64 / best.max(1) as f64
     }
@@ -172,7 +174,7 @@
         let weights: Vec<u64> = (0..n).map(|_| [1, 3, 3, 3, 8][self.rng.next_u32() as usize % 5]).collect();
         let sum: u64 = weights.iter().sum();
         for (i, weight) in weights.iter().enumerate() {
-            self.want(i, (u64::from(WHOLE) * load / 100 * weight / sum) as u32);
+            self.want(i, (u64::from(LIMIT_UNITS) * load / 100 * weight / sum) as u32);
         }
     }
 }
@@ -180,7 +182,7 @@
 #[test]
 fn shares_follow_demand_within_two_seconds_and_then_stay() {
     for (n, seed, load) in [(40, 1, 67), (40, 2, 110), (300, 3, 67), (300, 4, 110), (1_000, 5, 67)] {
-        let mut fleet = Fleet::new(n, Terms::exactly(n as u32), seed, Start::First);
+        let mut fleet = Fleet::new(n, LeaseSettings::exactly(n as u32), seed, Start::First);
         fleet.loss = 20;
         fleet.demand(load);
         fleet.run(if n == 1_000 { 2_000 } else { 4_000 });
@@ -202,7 +204,7 @@
             moved +=
                 (0..n).map(|i| fleet.all[i].lease.in_force(fleet.clock(i)).abs_diff(before[i])).sum::<u32>();
         }
-        let moved = f64::from(moved) / f64::from(WHOLE);
+        let moved = f64::from(moved) / f64::from(LIMIT_UNITS);
         println!("{n} at {load} %: at once {at_once:.3}, 0.95 after {took:?} ms, at 2 s {after:.3}; moved in a second after {moved:.3}; said {each:.1}/s each");
         assert!(took.is_some() && at_once < 0.9, "{took:?}, {at_once}");
         assert!(moved < 0.15, "{moved}");
@@ -213,20 +215,20 @@
 /// come while the fleet is at its limit; then the steward's part is cut off, and then it dies.
 #[test]
 fn from_forty_to_eighty_and_without_a_steward() {
-    let mut fleet = Fleet::new(80, Terms::about(40, Some(Member(0))), 9, Start::First);
+    let mut fleet = Fleet::new(80, LeaseSettings::about(40, Some(Member(0))), 9, Start::First);
     (40..80).for_each(|i| (fleet.all[i].stopped, fleet.all[i].absent) = (true, true));
-    (0..40).for_each(|i| fleet.want(i, WHOLE / 40));
+    (0..40).for_each(|i| fleet.want(i, LIMIT_UNITS / 40));
     fleet.run(9_000);
-    let full = fleet.in_force() as f64 / f64::from(WHOLE);
+    let full = fleet.in_force() as f64 / f64::from(LIMIT_UNITS);
     // They begin, for the first time under their names.
     for i in 40..80 {
         let now = fleet.clock(i);
         fleet.all[i].lease = Lease::new(Member(i as u32), 1, now, fleet.terms.clone(), Start::First);
         (fleet.all[i].stopped, fleet.all[i].absent) = (false, false);
-        fleet.want(i, WHOLE / 40);
+        fleet.want(i, LIMIT_UNITS / 40);
     }
     fleet.run(4_000);
-    let eighty = fleet.in_force() as f64 / f64::from(WHOLE);
+    let eighty = fleet.in_force() as f64 / f64::from(LIMIT_UNITS);
     (0..80).for_each(|i| fleet.all[i].group = u32::from(i >= 20));
     fleet.run(3_000);
     (0..80).for_each(|i| fleet.all[i].group = 0);
@@ -234,17 +236,17 @@
     fleet.run(3_000);
     println!("forty, of which half is the steward's to lend: {full:.3}; eighty: {eighty:.3}");
     assert!(full > 0.95 && eighty > 0.95, "{full}, {eighty}");
-    let safe = fleet.terms.safe();
+    let safe = fleet.terms.safe_share();
     (1..80).for_each(|i| assert!(fleet.all[i].lease.in_force(fleet.clock(i)) >= safe / 4));
 }
 
 /// Who hears nothing has its safe share after one lease, no less and no more.
 #[test]
 fn who_hears_nothing_falls_to_the_safe_share() {
-    let mut fleet = Fleet::new(40, Terms::exactly(40), 11, Start::First);
+    let mut fleet = Fleet::new(40, LeaseSettings::exactly(40), 11, Start::First);
     fleet.demand(100);
     fleet.run(4_000);
-    let safe = fleet.terms.safe();
+    let safe = fleet.terms.safe_share();
     let uneven = |f: &Fleet| (0..40).filter(|i| f.all[*i].lease.in_force(f.clock(*i)) != safe).count();
     assert!(uneven(&fleet) > 20);
     (0..40).for_each(|i| fleet.all[i].group = i as u32);
@@ -252,10 +254,10 @@
     assert_eq!(uneven(&fleet), 0);
     // An upgrade: the life that comes holds nothing, and says nothing, until the other has ended.
     let (now, mut out) = (Micros(10_000 * MS), vec![]);
-    let mut beside = Lease::new(Member(0), 2, now, fleet.terms.clone(), Start::Beside);
+    let mut beside = Lease::new(Member(0), 2, now, fleet.terms.clone(), Start::Overlapping);
     beside.tick(now + Micros(9_000 * MS), &mut out);
     assert_eq!((beside.in_force(now + Micros(9_000 * MS)), out.len()), (0, 0));
-    beside.alone(now + Micros(9_000 * MS));
+    beside.other_run_ended(now + Micros(9_000 * MS));
     assert!(beside.in_force(now + Micros(9_000 * MS)) <= safe / 4);
     assert_eq!(beside.in_force(now + Micros(10_300 * MS)), safe);
 }
@@ -264,7 +266,7 @@
 fn whatever_happens_the_sum_stays_within_the_limit() {
     for (n, seeds, ms) in [(40, 12, 20_000), (300, 1, 8_000)] {
         for seed in 0..seeds {
-            let mut fleet = Fleet::new(n, Terms::exactly(n as u32), 100 + seed, Start::First);
+            let mut fleet = Fleet::new(n, LeaseSettings::exactly(n as u32), 100 + seed, Start::First);
             (fleet.loss, fleet.doubled, fleet.late) = (200, 200, 3_000);
             fleet.demand(90);
             for _ in 0..ms / 500 {
@@ -289,9 +291,10 @@
 #[test]
 fn a_lender_with_a_fast_clock_waits_for_a_holder_with_a_slow_one() {
     let clock = |i: usize, t: u64| Micros(t * MS * [990, 1010][i] / 1000);
-    let mut pair: Vec<Lease> =
-        (0..2).map(|i| Lease::new(Member(i), 1, Micros(0), Terms::exactly(2), Start::First)).collect();
-    pair[0].demand(WHOLE, 1);
+    let mut pair: Vec<Lease> = (0..2)
+        .map(|i| Lease::new(Member(i), 1, Micros(0), LeaseSettings::exactly(2), Start::First))
+        .collect();
+    pair[0].set_demand(LIMIT_UNITS, 1);
     let (mut counter, mut lent) = (0, 0);
     for t in 0..5_000u64 {
         if t < 3_000 && t % 100 == 0 {
@@ -302,22 +305,24 @@
                     counter += 1;
                     let (to, from) = (1 - i, Member(i as u32));
                     match said {
-                        Said::Want(want) => {
-                            pair[to].heard_want(clock(to, t), from, Version { run: 1, counter }, want)
+                        LeaseMessage::Demand(demand) => {
+                            pair[to].receive_demand(clock(to, t), from, Version { run: 1, counter }, demand)
                         }
-                        Said::Loan(loan) => {
-                            pair[to].heard_loan(clock(to, t), from, Version { run: 1, counter }, loan);
+                        LeaseMessage::Loan(loan) => {
+                            pair[to].receive_loan(clock(to, t), from, Version { run: 1, counter }, loan);
                         }
-                        Said::Back(back) => pair[to].heard_back(from, back),
+                        LeaseMessage::Ack(ack) => pair[to].receive_ack(from, ack),
                     }
                 }
             }
         }
         let sum: u32 = (0..2).map(|i| pair[i].in_force(clock(i, t))).sum();
-        assert!(sum <= WHOLE, "{sum} at {t} ms");
+        assert!(sum <= LIMIT_UNITS, "{sum} at {t} ms");
         lent = lent.max(pair[0].in_force(clock(0, t)));
     }
-    assert!(lent > WHOLE / 10 * 8 && (0..2).all(|i| pair[i].in_force(clock(i, 5_000)) == WHOLE / 2));
+    assert!(
+        lent > LIMIT_UNITS / 10 * 8 && (0..2).all(|i| pair[i].in_force(clock(i, 5_000)) == LIMIT_UNITS / 2)
+    );
 }
 
 /// Every entry fits the carrier's 48 bytes with the greatest values there are.
@@ -327,11 +332,18 @@
     let size = |said: Vec<u8>| assert!(said.len() <= 48, "{}", said.len());
     let (w, to, life) = (u32::MAX, Member(u32::MAX), u64::MAX);
     size(
-        postcard::to_allocvec(&lease::Want { want: w, worth: 255, own: w, held: w, lent: w, stamp: w })
-            .unwrap(),
+        postcard::to_allocvec(&lease::Demand {
+            units: w,
+            weight: 255,
+            owned: w,
+            in_force: w,
+            lent: w,
+            stamp_ms: w,
+        })
+        .unwrap(),
     );
-    size(postcard::to_allocvec(&lease::Loan { to, amount: w, life, stamp: w, turn: w }).unwrap());
-    size(postcard::to_allocvec(&lease::Back { to, life, turn: w }).unwrap());
+    size(postcard::to_allocvec(&lease::Loan { to, units: w, run: life, stamp_ms: w, sequence: w }).unwrap());
+    size(postcard::to_allocvec(&lease::LoanAck { to, run: life, sequence: w }).unwrap());
     size(postcard::to_allocvec(&counts::Tally { at_ms: w, requested: life, refused: life }).unwrap());
     let saw = judgement::Saw::Shut(w);
     size(
--- a/tests/lease_model.rs
+++ b/tests/lease_model.rs
@@ -2,7 +2,7 @@
 //! order, one restart, clocks at 0.99, 1.00 and 1.01 of true time. A split is entries that do not arrive, a pause a
 //! courier that is neither ticked nor told anything while its share is still looked at: both lie within.
 
-use indigohold::shared::lease::{Lease, Said, Start, Terms, WHOLE};
+use indigohold::shared::lease::{Lease, LeaseMessage, LeaseSettings, Start, LIMIT_UNITS};
 use indigohold::shared::{Member, Version};
 use indigohold::Micros;
 use stateright::{Checker, Model, Property};
@@ -21,7 +21,7 @@
     lives: [u64; N],
     counters: [u64; N],
     /// Entries under way: the two newest of each owner and kind; they stay, so each may come twice or never.
-    net: Vec<(usize, Version, Said)>,
+    net: Vec<(usize, Version, LeaseMessage)>,
     restarts: u8,
     turned: bool,
     /// Within a step: wants are heard, then ticks, then loans are heard, each in order. What is done in another order
@@ -59,7 +59,9 @@
         match act {
             Act::Time => (0, 0),
             Act::Tick(i) => (1, i + 1),
-            Act::Hear(to, k) => (if matches!(self.net[*k].2, Said::Want(_)) { 0 } else { 2 }, k * N + to + 1),
+            Act::Hear(to, k) => {
+                (if matches!(self.net[*k].2, LeaseMessage::Demand(_)) { 0 } else { 2 }, k * N + to + 1)
+            }
             Act::Restart(_) | Act::Turn => self.cursor,
         }
     }
@@ -68,11 +70,13 @@
         let (from, version, said) = self.net[entry];
         let now = self.clock(to);
         match said {
-            Said::Want(want) => self.couriers[to].heard_want(now, Member(from as u32), version, want),
-            Said::Loan(loan) => {
-                self.couriers[to].heard_loan(now, Member(from as u32), version, loan);
+            LeaseMessage::Demand(demand) => {
+                self.couriers[to].receive_demand(now, Member(from as u32), version, demand)
+            }
+            LeaseMessage::Loan(loan) => {
+                self.couriers[to].receive_loan(now, Member(from as u32), version, loan);
             }
-            Said::Back(back) => self.couriers[to].heard_back(Member(from as u32), back),
+            LeaseMessage::Ack(ack) => self.couriers[to].receive_ack(Member(from as u32), ack),
         }
     }
 
@@ -82,12 +86,12 @@
         self.couriers[i].tick(now, &mut out);
         for said in out {
             self.counters[i] += 1;
-            let same = |e: &(usize, Version, Said)| {
+            let same = |e: &(usize, Version, LeaseMessage)| {
                 e.0 == i
                     && match (&e.2, &said) {
-                        (Said::Want(_), Said::Want(_)) => true,
-                        (Said::Loan(a), Said::Loan(b)) => a.to == b.to,
-                        (Said::Back(a), Said::Back(b)) => a.to == b.to,
+                        (LeaseMessage::Demand(_), LeaseMessage::Demand(_)) => true,
+                        (LeaseMessage::Loan(a), LeaseMessage::Loan(b)) => a.to == b.to,
+                        (LeaseMessage::Ack(a), LeaseMessage::Ack(b)) => a.to == b.to,
                         _ => false,
                     }
             };
@@ -101,9 +105,9 @@
 }
 
 fn courier(i: usize, life: u64, now: Micros, start: Start) -> Lease {
-    let mut lease = Lease::new(Member(i as u32), life, now, Terms::exactly(N as u32), start);
+    let mut lease = Lease::new(Member(i as u32), life, now, LeaseSettings::exactly(N as u32), start);
     // One wants nearly all, one its part, one nothing.
-    lease.demand([WHOLE / 10 * 8, 0, WHOLE / 10][i], 1);
+    lease.set_demand([LIMIT_UNITS / 10 * 8, 0, LIMIT_UNITS / 10][i], 1);
     lease
 }
 
@@ -140,9 +144,9 @@
         for (k, (from, _, said)) in w.net.iter().enumerate() {
             // The lenders' own wants shape the plan and nothing else; they were heard at the start.
             let for_whom = |to: &usize| match said {
-                Said::Want(_) => *from == 0 && *to != 0,
-                Said::Loan(loan) => loan.to == Member(*to as u32),
-                Said::Back(back) => back.to == Member(*to as u32),
+                LeaseMessage::Demand(_) => *from == 0 && *to != 0,
+                LeaseMessage::Loan(loan) => loan.to == Member(*to as u32),
+                LeaseMessage::Ack(ack) => ack.to == Member(*to as u32),
             };
             acts.extend(
                 (0..N).filter(for_whom).map(|to| Act::Hear(to, k)).filter(|a| w.cursor <= w.place(a)),
@@ -164,13 +168,13 @@
             Act::Hear(to, k) => next.hear(to, k),
             Act::Turn => {
                 next.turned = true;
-                next.couriers[0].demand(0, 1);
-                next.couriers[1].demand(WHOLE / 10 * 8, 1);
+                next.couriers[0].set_demand(0, 1);
+                next.couriers[1].set_demand(LIMIT_UNITS / 10 * 8, 1);
             }
             Act::Restart(i) => {
                 next.restarts += 1;
                 next.lives[i] += 1;
-                next.couriers[i] = courier(i, next.lives[i], next.clock(i), Start::Again);
+                next.couriers[i] = courier(i, next.lives[i], next.clock(i), Start::Restart);
             }
         }
         let changed = next != *w;
@@ -181,16 +185,16 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("the shares in force are at most the limit", |_, w: &World| {
-                w.sum() <= u64::from(WHOLE)
+                w.sum() <= u64::from(LIMIT_UNITS)
             }),
             Property::sometimes("a loan is used", |_, w: &World| {
-                w.couriers[0].in_force(w.clock(0)) > WHOLE / 3
+                w.couriers[0].in_force(w.clock(0)) > LIMIT_UNITS / 3
             }),
             Property::sometimes("a loan is given back before it lapses", |m: &Fleet, w: &World| {
-                !m.turns || w.net.iter().any(|e| matches!(e.2, Said::Back(_)))
+                !m.turns || w.net.iter().any(|e| matches!(e.2, LeaseMessage::Ack(_)))
             }),
             Property::sometimes("a loan is used after a restart", |m: &Fleet, w: &World| {
-                m.restarts == 0 || w.restarts > 0 && w.couriers[0].in_force(w.clock(0)) > WHOLE / 3
+                m.restarts == 0 || w.restarts > 0 && w.couriers[0].in_force(w.clock(0)) > LIMIT_UNITS / 3
             }),
         ]
     }
--- a/tests/sharing_words.rs
+++ b/tests/sharing_words.rs
@@ -4,7 +4,7 @@
 use indigohold::peers::{cluster, Config, Peers};
 use indigohold::shared::counts::Tally;
 use indigohold::shared::judgement::{Basis, Belief, Evidence, Saw};
-use indigohold::shared::lease::{Loan, Start, Want, WHOLE};
+use indigohold::shared::lease::{Demand, Loan, Start, LIMIT_UNITS};
 use indigohold::shared::sharing::{Desk, Facts, OfDestination, OfEndpoint, Sharing, Terms};
 use indigohold::shared::Member;
 use indigohold::{EndpointId, Micros};
@@ -25,24 +25,24 @@
 fn what_is_cut_foreign_or_not_for_this_courier_is_dropped_and_counted() {
     let peers = |me| Peers::new(Config::new(cluster(["here"])), Micros(S), me, 2, 1, 3);
     let (mut mine, mut other, desk) = (peers(0), peers(1), Arc::<Desk>::default());
-    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(2), Start::Again, desk.clone());
-    let want = Want { want: 9, worth: 1, own: 0, held: 0, lent: 0, stamp: 0 };
-    let much = Want { want: WHOLE + 1, ..want };
-    let loan = Loan { to: Member(0), amount: WHOLE / 2, life: 1, stamp: 0, turn: 1 };
+    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(2), Start::Restart, desk.clone());
+    let demand = Demand { units: 9, weight: 1, owned: 0, in_force: 0, lent: 0, stamp_ms: 0 };
+    let too_much = Demand { units: LIMIT_UNITS + 1, ..demand };
+    let loan = Loan { to: Member(0), units: LIMIT_UNITS / 2, run: 1, stamp_ms: 0, sequence: 1 };
     let tally = Tally { at_ms: 1, requested: 5, refused: 0 };
-    let mut cut = entry(1, &want);
+    let mut cut = entry(1, &demand);
     cut.pop();
-    let mut longer = entry(1, &want);
+    let mut longer = entry(1, &demand);
     longer.push(0);
     let said = [
         (kinds::DEMAND, 1, cut),
         (kinds::DEMAND, 2, longer),
-        (kinds::DEMAND, 3, entry(2, &want)),
-        (kinds::DEMAND, 4, entry(1, &much)),
-        (kinds::DEMAND, 70_000, entry(1, &want)),
+        (kinds::DEMAND, 3, entry(2, &demand)),
+        (kinds::DEMAND, 4, entry(1, &too_much)),
+        (kinds::DEMAND, 70_000, entry(1, &demand)),
         // Its number names another receiver than it does; and one that another life of this courier asked for.
         (kinds::LOAN, 7 << 16 | 1, entry(1, &loan)),
-        (kinds::LOAN, 7 << 16, entry(1, &Loan { life: 9, ..loan })),
+        (kinds::LOAN, 7 << 16, entry(1, &Loan { run: 9, ..loan })),
         (kinds::COUNTERS, 5, entry(1, &tally)),
         (kinds::COUNTERS, 0, entry(1, &Tally { refused: 6, ..tally })),
         (kinds::EVIDENCE, 1, vec![255; 40]),
@@ -67,8 +67,8 @@
     // What this courier says itself can be read, and is no longer than an entry may be.
     let own: Vec<_> = other.get(kinds::DEMAND).chain(other.get(kinds::COUNTERS)).collect();
     assert_eq!(own.len(), 2);
-    let (form, heard): (u8, Want) = postcard::from_bytes(&own[0].value).unwrap();
-    assert_eq!((form, heard.want), (1, 9_000_000));
+    let (form, heard): (u8, Demand) = postcard::from_bytes(&own[0].value).unwrap();
+    assert_eq!((form, heard.units), (1, 9_000_000));
 }
 
 /// Guards against two lives that lend the same: one that has passed its core on says nothing more.
@@ -76,7 +76,7 @@
 fn a_life_that_has_passed_its_core_on_is_silent() {
     let mut peers = Peers::new(Config::new(cluster(["here"])), Micros(S), 0, 2, 1, 3);
     let desk = Arc::<Desk>::default();
-    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(2), Start::Again, desk.clone());
+    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(2), Start::Restart, desk.clone());
     let mut run = |desk: &Desk, from: u64| {
         (from..from + 5 * S).step_by(100_000).map(Micros).for_each(|now| {
             desk.lay(facts(now));
@@ -94,7 +94,7 @@
 fn what_is_taken_out_by_hand_is_out_whatever_is_seen_and_free_once_it_is_put_back() {
     let peers = |me| Peers::new(Config::new(cluster(["here"])), Micros(S), me, 3, 1, 3);
     let (mut mine, desk) = (peers(0), Arc::<Desk>::default());
-    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(3), Start::Again, desk.clone());
+    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(3), Start::Restart, desk.clone());
     let id = EndpointId { addr: [0, 0, 0, 1], port: 0 };
     let mut others = [peers(1), peers(2)];
     let out = Evidence { saw: Saw::Out, since: 0, life: 10_000, tries: 0, tried: None };
--- a/tests/support/sharing.rs
+++ b/tests/support/sharing.rs
@@ -145,7 +145,7 @@
             let terms = Terms { matters, ..Terms::exactly(set.senders) };
             let (now, desk) = (fleet.net.local(i), fleet.desks[i].clone());
             let life = fleet.net.nodes[i].as_ref().expect("it is up").incarnation();
-            fleet.riders.push(Sharing::new(now, i as u16, life, terms, Start::Again, desk));
+            fleet.riders.push(Sharing::new(now, i as u16, life, terms, Start::Restart, desk));
         }
         fleet
     }
