--- a/src/api/decision_engine.rs
+++ b/src/api/decision_engine.rs
@@ -2,7 +2,7 @@
 
 use super::events::{Action, Event};
 use super::ids::{DestinationId, EndpointId, MessageId, Micros};
-use crate::shared::sharing::{Beliefs, Facts};
+use crate::shared::sharing::{Facts, FleetView};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -63,7 +63,7 @@
         Facts::default()
     }
     /// Applies the merged view of all couriers. It is valid until its own expiry time.
-    fn apply_beliefs(&mut self, _now: Micros, _beliefs: Arc<Beliefs>) {}
+    fn apply_beliefs(&mut self, _now: Micros, _beliefs: Arc<FleetView>) {}
     /// The learnt state that the replacing process of this courier continues with. Messages and the endpoint list are
     /// handed over separately.
     fn export_state(&self) -> EngineState {
--- a/src/core/shared.rs
+++ b/src/core/shared.rs
@@ -7,7 +7,7 @@
 use crate::history::shelf::Shelf;
 use crate::register::kept_copy::ListSnapshot;
 use crate::register::phase::Phase;
-use crate::shared::sharing::Desk;
+use crate::shared::sharing::Exchange;
 use crate::store::Journal;
 use crossbeam_channel::Receiver;
 use std::ops::{Deref, DerefMut};
@@ -32,7 +32,7 @@
     /// Metrics for operators, as of the last release of the state lock.
     pub board: Arc<PublishedMetrics>,
     /// Exchange of facts and beliefs between the core and the thread that shares them with other couriers.
-    pub sharing: Arc<Desk>,
+    pub sharing: Arc<Exchange>,
     /// For each front, whether a drain makes it refuse everything.
     pub(super) closed_fronts: [AtomicBool; draining::FRONT_COUNT],
 }
--- a/src/core/sharing.rs
+++ b/src/core/sharing.rs
@@ -3,7 +3,7 @@
 
 use super::{Core, PLATFORM_FRONT};
 use crate::api::{EndpointId, Micros};
-use crate::shared::sharing::{name, Beliefs, Desk};
+use crate::shared::sharing::{numeric_name, Exchange, FleetView};
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -13,11 +13,11 @@
 /// The core's state of the exchange.
 #[derive(Default)]
 pub(super) struct FleetExchange {
-    pub(super) desk: Arc<Desk>,
+    pub(super) desk: Arc<Exchange>,
     was_open: bool,
     next_facts_at: Micros,
     /// The beliefs that the decision module has.
-    current_beliefs: Option<Arc<Beliefs>>,
+    current_beliefs: Option<Arc<FleetView>>,
     /// For each endpoint of the decision module, the numeric name that every courier computes for it.
     shared_names: HashMap<EndpointId, u64>,
     /// Version of the operators' overrides, and the numeric names of the endpoints that they exclude.
@@ -28,7 +28,7 @@
     /// Closes the exchange while the core decides nothing, so that no share of a limit is lent on its behalf.
     pub(super) fn pause(&mut self) {
         self.was_open = self.desk.is_open();
-        self.desk.shut();
+        self.desk.close();
     }
 
     /// Opens the exchange again if it was open before [`FleetExchange::pause`].
@@ -46,7 +46,7 @@
         if !self.sharing_state.desk.is_open() {
             return;
         }
-        let beliefs = self.sharing_state.desk.beliefs();
+        let beliefs = self.sharing_state.desk.view();
         let unchanged = match (&beliefs, &self.sharing_state.current_beliefs) {
             (Some(new), Some(old)) => Arc::ptr_eq(new, old),
             (new, _) => new.is_none(),
@@ -63,14 +63,14 @@
         if self.sharing_state.shared_names.len() > 2 * self.endpoint_ids.len() {
             self.sharing_state.shared_names.clear();
         }
-        if facts.endpoints.iter().any(|endpoint| !self.sharing_state.shared_names.contains_key(&endpoint.at))
+        if facts.endpoints.iter().any(|endpoint| !self.sharing_state.shared_names.contains_key(&endpoint.id))
         {
             // Only endpoints of the platform front are shared: mail servers of other companies speak another protocol
             // and are not known to the peers.
             let platform = self.endpoint_ids.iter().filter(|((front, _), _)| *front == PLATFORM_FRONT);
             self.sharing_state
                 .shared_names
-                .extend(platform.map(|((_, endpoint), id)| (*id, name(endpoint.as_bytes()))));
+                .extend(platform.map(|((_, endpoint), id)| (*id, numeric_name(endpoint.as_bytes()))));
         }
         if let Some(overrides) = self
             .overrides
@@ -79,17 +79,19 @@
         {
             // The version is read before the set, so that a change in between causes another read in the next round.
             let version = overrides.version();
-            self.sharing_state.ejected_by_operator =
-                (version, overrides.excluded().names().map(|endpoint| name(endpoint.as_bytes())).collect());
+            self.sharing_state.ejected_by_operator = (
+                version,
+                overrides.excluded().names().map(|endpoint| numeric_name(endpoint.as_bytes())).collect(),
+            );
         }
-        facts.banned = self.sharing_state.ejected_by_operator.1.clone();
+        facts.excluded = self.sharing_state.ejected_by_operator.1.clone();
         let shared_names = &self.sharing_state.shared_names;
         facts.endpoints.retain_mut(|endpoint| {
-            shared_names.get(&endpoint.at).is_some_and(|name| {
+            shared_names.get(&endpoint.id).is_some_and(|name| {
                 endpoint.name = *name;
                 true
             })
         });
-        self.sharing_state.desk.lay(facts);
+        self.sharing_state.desk.publish_facts(facts);
     }
 }
--- a/src/net/peers/config.rs
+++ b/src/net/peers/config.rs
@@ -4,7 +4,7 @@
 use crate::api::Micros;
 use crate::checked::{self, Fault};
 use crate::peers::{cluster, Config};
-use crate::shared::sharing::Matters;
+use crate::shared::sharing::SharedTopics;
 use std::io::ErrorKind;
 use std::path::Path;
 
@@ -17,7 +17,7 @@
     /// How entries go between couriers.
     pub ground: Config,
     /// What is shared of limits, tenants and endpoints.
-    pub matters: Matters,
+    pub matters: SharedTopics,
 }
 
 /// Reads the file; `None`: the part is off. The errors are all that is wrong with it.
@@ -44,7 +44,7 @@
             ..d
         };
         // Danger: near a limit leased parts hand more back than each courier's own finding (`docs/operators/beliefs.md`).
-        let matters = Matters {
+        let matters = SharedTopics {
             limits: doc.flag("share_limits", false),
             tenants: doc.flag("share_tenants", true),
             endpoints: doc.flag("share_endpoints", true),
@@ -62,12 +62,12 @@
         let file = include_str!("../../../deploy/shared.json");
         assert_eq!(parse(file.as_bytes()).unwrap(), None);
         let on = file.replace("\"enabled\": false", "\"enabled\": true");
-        let matters = Matters { limits: false, ..Matters::ALL };
+        let matters = SharedTopics { limits: false, ..SharedTopics::ALL };
         let usual = Sharing { ground: Config::new(cluster([FLEET])), matters };
         assert_eq!(parse(on.as_bytes()).unwrap(), Some(usual.clone()));
         assert_eq!(parse(br#"{"enabled": true}"#).unwrap(), Some(usual));
         let all = parse(br#"{"enabled": true, "share_limits": true}"#).unwrap().unwrap();
-        assert_eq!(all.matters, Matters::ALL);
+        assert_eq!(all.matters, SharedTopics::ALL);
         assert_eq!(parse(b"{}").unwrap(), None);
     }
 
--- a/src/net/peers/riders.rs
+++ b/src/net/peers/riders.rs
@@ -7,7 +7,7 @@
 use crate::history::rider::Retention;
 use crate::peers::payload::GossipPayload;
 use crate::shared::lease::Start;
-use crate::shared::sharing::{Matters, Sharing, Terms};
+use crate::shared::sharing::{SharedTopics, Sharing, SharingSettings};
 use std::sync::Arc;
 
 /// Where this courier stands in its fleet.
@@ -22,7 +22,7 @@
     /// For random numbers, another for each member and life.
     pub seed: u64,
     /// What is shared of limits, tenants and endpoints.
-    pub matters: Matters,
+    pub matters: SharedTopics,
 }
 
 /// Whether questions ride here: their file has this courier at the place that it has among the notes' members. Danger: numbers that
@@ -53,8 +53,10 @@
         all.push(Box::new(Retention::new(courier.clone(), place.me)));
         all.push(Box::new(Replaying::new(courier.clone(), place.me)));
     }
-    let terms =
-        Terms { matters: place.matters, ..Terms::exactly(u32::try_from(place.n).unwrap_or(u32::MAX)) };
+    let terms = SharingSettings {
+        topics: place.matters,
+        ..SharingSettings::exactly(u32::try_from(place.n).unwrap_or(u32::MAX))
+    };
     let (now, desk) = (courier.clock.now(), courier.sharing.clone());
     all.push(Box::new(Sharing::new(now, place.me, place.incarnation, terms, Start::Restart, desk)));
     all
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -111,7 +111,7 @@
         let is_ejected = |s: &Endpoint| s.listed == ListingState::Ready && s.health.is_ejected();
         let ejected = |s: &&EndpointId| self.endpoints.get(s).is_some_and(is_ejected);
         let count = self.siblings(id).iter().filter(ejected).count().max(1) as f64;
-        let takes_turns = self.beliefs.as_ref().is_some_and(|b| b.may_try(now, id).is_some());
+        let takes_turns = self.beliefs.as_ref().is_some_and(|b| b.may_probe(now, id).is_some());
         let senders = if takes_turns { 1.0 } else { f64::from(self.settings.senders) };
         let max = MAX_TRIAL_INTERVAL_PER_SENDER.scale(senders);
         let interval = Micros::from_secs(1.0 / (self.slow_start_rate(now, id) * count));
@@ -121,7 +121,7 @@
     /// Whether this sender may try the endpoint: its own trial time has come and, where the senders take
     /// turns, it is this sender's turn.
     pub(super) fn trial_due(&self, now: Micros, id: EndpointId, trial_at: Micros) -> bool {
-        trial_at <= now && self.beliefs.as_ref().and_then(|b| b.may_try(now, id)).unwrap_or(true)
+        trial_at <= now && self.beliefs.as_ref().and_then(|b| b.may_probe(now, id)).unwrap_or(true)
     }
 
     /// Ejects an endpoint, together with the siblings that have not succeeded lately.
--- a/src/policy/slow_start.rs
+++ b/src/policy/slow_start.rs
@@ -50,7 +50,7 @@
     /// Whether the endpoint may be sent a call now, by its health.
     pub(super) fn is_usable(&self, now: Micros, id: EndpointId, e: &Endpoint) -> bool {
         match e.health {
-            Health::Healthy => !self.beliefs.as_ref().is_some_and(|b| b.keeps_from(now, id)),
+            Health::Healthy => !self.beliefs.as_ref().is_some_and(|b| b.excludes(now, id)),
             Health::HalfOpen => false,
             Health::Ejected { trial_at, probed } => {
                 self.trial_due(now, id, trial_at) && (probed || !self.settings.limits.probes)
--- a/src/policy/tenant_shares.rs
+++ b/src/policy/tenant_shares.rs
@@ -24,7 +24,8 @@
             self.tenant_demand_counts[tenant] += 1;
             over_share = self.tenant_clocks[tenant] > now + Micros::from_secs(MAX_SHARE_BURST_S);
             if !over_share {
-                let own_quota = self.beliefs.as_ref().and_then(|b| b.part_of(now, message.tenant, quota));
+                let own_quota =
+                    self.beliefs.as_ref().and_then(|b| b.tenant_share(now, message.tenant, quota));
                 let even_gap = f64::from(self.settings.senders.max(1)) / quota;
                 let gap = Micros::from_secs(own_quota.map_or(even_gap, |own| 1.0 / own));
                 self.tenant_clocks[tenant] = self.tenant_clocks[tenant].max(now) + gap;
--- a/src/sender_handover.rs
+++ b/src/sender_handover.rs
@@ -4,7 +4,7 @@
 
 use crate::api::*;
 use crate::policy::DEMAND_WINDOW;
-use crate::shared::sharing::{Beliefs, Facts};
+use crate::shared::sharing::{Facts, FleetView};
 use crate::state::{Destination, Endpoint, Health, RetryReserve, Route, RouteId, Sender};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -137,7 +137,7 @@
         Sender::facts(self, now)
     }
 
-    fn apply_beliefs(&mut self, now: Micros, beliefs: Arc<Beliefs>) {
+    fn apply_beliefs(&mut self, now: Micros, beliefs: Arc<FleetView>) {
         Sender::apply_beliefs(self, now, beliefs);
     }
 
--- a/src/sender_sharing.rs
+++ b/src/sender_sharing.rs
@@ -2,8 +2,8 @@
 //! receives. This module makes no decisions: `src/policy/` decides what to do with a leased share or a peer's observation.
 
 use crate::api::*;
-use crate::shared::judgement::Saw;
-use crate::shared::sharing::{name, Beliefs, Facts, OfDestination, OfEndpoint};
+use crate::shared::health::Observation;
+use crate::shared::sharing::{numeric_name, DestinationFacts, EndpointFacts, Facts, FleetView};
 use crate::state::*;
 use std::sync::Arc;
 
@@ -31,13 +31,13 @@
             tenants: tenants.map(|(i, (_, asked))| (i as u16, *asked)).collect(),
             destinations: destinations.map(facts_of).collect(),
             endpoints: self.endpoints.iter().map(|(id, e)| endpoint_facts(now, *id, e)).collect(),
-            banned: Arc::default(),
+            excluded: Arc::default(),
         }
     }
 
     fn destination_facts(
         &self, now: Micros, id: DestinationId, route: &Route, waiting: usize,
-    ) -> OfDestination {
+    ) -> DestinationFacts {
         let rate_over = |window| demand_rate(&self.destinations, now, id, window);
         let (average, recent) = (rate_over(DEMAND_WINDOW), rate_over(RECENT_DEMAND_WINDOW));
         // With few messages, random variation alone can double the count of the short window, and the shares would
@@ -48,14 +48,14 @@
         let has_demand = last_submitted.is_some_and(|at| *at + DEMAND_WINDOW > now);
         let demand = if has_demand { rate } else { 0.0 } + waiting as f64 * BACKLOG_DRAIN_SHARE_PER_S;
         let SendRate { limit, calls_sent, calls_refused, .. } = route.send_rate;
-        let came = self.destinations.get(&id).map_or((0, 0), |d| d.handed_in);
-        OfDestination { dest: id.0, came, demand, limit, called: calls_sent, refused: calls_refused }
+        let handed_in = self.destinations.get(&id).map_or((0, 0), |d| d.handed_in);
+        DestinationFacts { dest: id.0, handed_in, demand, limit, calls_sent, calls_refused }
     }
 
     /// Applies the merged view of all couriers.
-    pub fn apply_beliefs(&mut self, now: Micros, beliefs: Arc<Beliefs>) {
+    pub fn apply_beliefs(&mut self, now: Micros, beliefs: Arc<FleetView>) {
         let recovered: Vec<_> =
-            beliefs.endpoints.keys().copied().filter(|id| beliefs.back(now, *id)).collect();
+            beliefs.endpoints.keys().copied().filter(|id| beliefs.has_recovered(now, *id)).collect();
         recovered.into_iter().for_each(|id| self.peers_report_recovery(now, id));
         self.beliefs = Some(beliefs);
         self.lease_update_at = Some(now);
@@ -70,29 +70,36 @@
         };
         for ((dest, apart), route) in &mut self.routes {
             if apart.is_none() {
-                route.send_rate.set_lease(now, beliefs.share_of(now, dest.0), self.settings.senders);
+                route.send_rate.set_lease(now, beliefs.destination_share(now, dest.0), self.settings.senders);
             }
         }
-        self.lease_update_at = beliefs.next_step(now);
+        self.lease_update_at = beliefs.next_share_change(now);
     }
 }
 
 /// This sender's own observation of an endpoint, by the outcomes of its own calls.
-fn endpoint_facts(now: Micros, id: EndpointId, e: &Endpoint) -> OfEndpoint {
+fn endpoint_facts(now: Micros, id: EndpointId, e: &Endpoint) -> EndpointFacts {
     let recently_served = e.last_ok > Micros(0) && e.last_ok + DEMAND_WINDOW > now;
-    let (saw, at) = match e.health {
+    let (observation, observed_at) = match e.health {
         // An endpoint that was ejected with a sibling, or reopened on a peer's report, was not observed by this sender.
         Health::Ejected { .. } | Health::HalfOpen => {
-            ((e.failure_average > 0.0).then_some(Saw::Out), e.ejected_at)
+            ((e.failure_average > 0.0).then_some(Observation::Out), e.ejected_at)
         }
         Health::SlowStart { .. } => {
-            ((recently_served && e.last_ok >= e.ejected_at).then_some(Saw::Cold), e.last_ok)
+            ((recently_served && e.last_ok >= e.ejected_at).then_some(Observation::Cold), e.last_ok)
         }
-        Health::Healthy => (recently_served.then_some(Saw::Served), e.last_ok),
+        Health::Healthy => (recently_served.then_some(Observation::Served), e.last_ok),
     };
-    let retry = match e.health {
+    let retry_at = match e.health {
         Health::Ejected { trial_at, .. } => trial_at,
         _ => now,
     };
-    OfEndpoint { at: id, name: name(&id.bytes()), saw, seen: at, retry, tried: e.last_trial_at }
+    EndpointFacts {
+        id,
+        name: numeric_name(&id.bytes()),
+        observation,
+        observed_at,
+        retry_at,
+        probed_at: e.last_trial_at,
+    }
 }
--- a/src/shared/mod.rs
+++ b/src/shared/mod.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 pub mod counts;
-pub mod judgement;
+pub mod health;
 pub mod lease;
 pub mod sharing;
 
--- a/src/shared/sharing/publish.rs
+++ b/src/shared/sharing/publish.rs
@@ -1,94 +1,97 @@
-//! What is believed, for the core and for operators.
+//! Publishes the fleet view, for the core and for operators.
 
-use super::beliefs::{Beliefs, OfEndpoint as EndpointBelief, OfTenant};
+use super::view::{EndpointView, FleetView, TenantView};
 use super::Sharing;
 use crate::api::Micros;
 use crate::peers::Peers;
 use crate::shared::counts::CounterKey;
-use crate::shared::judgement::{Belief, Trial};
+use crate::shared::health::{Belief, ProbeTurn};
 use crate::shared::lease::LIMIT_UNITS;
 use crate::shared::Member;
 
-/// Units of a limit up to which it is not full; and how long that holds after it was published.
-const FILLED: u64 = LIMIT_UNITS as u64 / 100 * 85;
-const ROOM: Micros = Micros(1_000_000);
-/// Nor where a call was turned away so lately.
-const CALM: Micros = Micros(5_000_000);
-/// Judgements count for nothing so long after they were published.
-const JUDGED: Micros = Micros(2_000_000);
+/// Total demand in units up to which a limit has spare capacity.
+const SPARE_BELOW_UNITS: u64 = LIMIT_UNITS as u64 / 100 * 85;
+/// How long spare capacity may be used after it was published.
+const SPARE_CAPACITY_VALIDITY: Micros = Micros(1_000_000);
+/// There is no spare capacity for this time after a call was refused.
+const SPARE_CAPACITY_BACKOFF: Micros = Micros(5_000_000);
+/// How long assessments of endpoints are used after they were published.
+const ENDPOINT_VALIDITY: Micros = Micros(2_000_000);
 
 impl Sharing {
-    pub(super) fn publish(&self, now: Micros, peers: &Peers) {
-        let members = self.terms.lease.max_couriers;
-        let terms = &self.terms.counts;
-        let matters = self.terms.matters;
-        let tenants = self.facts.tenants.iter().filter(|_| matters.tenants).filter_map(|(tenant, _)| {
-            let what = CounterKey::Tenant(*tenant);
-            let (asked, _) = self.counts.rate(now, what);
-            let known = asked.coverage >= terms.min_coverage && asked.age <= terms.max_age;
-            let own = self.counts.own_rate(what).0;
-            let fleet = (asked.value / asked.coverage).max(own);
-            let until = now + (terms.max_age - asked.age);
-            let of = OfTenant { own, fleet, age: asked.age, coverage: asked.coverage, until };
-            known.then_some((*tenant, of))
+    pub(super) fn publish_view(&self, now: Micros, peers: &Peers) {
+        let members = self.settings.lease.max_couriers;
+        let settings = &self.settings.counts;
+        let topics = self.settings.topics;
+        let tenants = self.facts.tenants.iter().filter(|_| topics.tenants).filter_map(|(tenant, _)| {
+            let key = CounterKey::Tenant(*tenant);
+            let (requested, _) = self.counts.rate(now, key);
+            let known = requested.coverage >= settings.min_coverage && requested.age <= settings.max_age;
+            let own = self.counts.own_rate(key).0;
+            let fleet = (requested.value / requested.coverage).max(own);
+            let until = now + (settings.max_age - requested.age);
+            let view = TenantView { own, fleet, age: requested.age, coverage: requested.coverage, until };
+            known.then_some((*tenant, view))
         });
-        let here: Vec<Member> = peers.alive_members(now).map(|m| Member(u32::from(m))).collect();
-        let endpoints = self.facts.endpoints.iter().filter(|_| matters.endpoints).filter_map(|e| {
-            let judged = self.judgements.judge(now, e.name);
-            let trial = match self.judgements.trial(now, e.name, &here) {
-                Trial::Mine => Some(now),
-                Trial::NotBefore(at) => Some(at),
-                Trial::None => None,
+        let present: Vec<Member> = peers.alive_members(now).map(|m| Member(u32::from(m))).collect();
+        let endpoints = self.facts.endpoints.iter().filter(|_| topics.endpoints).filter_map(|e| {
+            let assessment = self.health.assess(now, e.name);
+            let probe_at = match self.health.probe_turn(now, e.name, &present) {
+                ProbeTurn::Mine => Some(now),
+                ProbeTurn::NotBefore(at) => Some(at),
+                ProbeTurn::None => None,
             };
-            let says = judged.belief != Belief::Free || trial.is_some();
-            says.then_some((e.at, EndpointBelief { judged, trial, until: now + JUDGED }))
+            let relevant = assessment.belief != Belief::Free || probe_at.is_some();
+            relevant.then_some((e.id, EndpointView { assessment, probe_at, until: now + ENDPOINT_VALIDITY }))
         });
-        let whole = here.len() + 1 >= members as usize;
-        let room = self.leases.iter().filter_map(|(dest, lease)| {
-            let (all, own) = lease.total_and_own_demand();
-            let calm = self.turned_away.get(dest).is_none_or(|at| *at + CALM < now);
-            let free = FILLED.checked_sub(all).filter(|_| whole && calm)?;
-            // Danger: if each took all that is free, a moment's waiting in all would put the destination in debt for long.
+        let all_present = present.len() + 1 >= members as usize;
+        let spare_capacity = self.leases.iter().filter_map(|(dest, lease)| {
+            let (total, own) = lease.total_and_own_demand();
+            let unrefused =
+                self.last_refused_at.get(dest).is_none_or(|at| *at + SPARE_CAPACITY_BACKOFF < now);
+            let free = SPARE_BELOW_UNITS.checked_sub(total).filter(|_| all_present && unrefused)?;
+            // Each courier gets only a part of what is free: if each used all of it, a moment of waiting messages everywhere
+            // would exceed the destination's limit, and it would take long to recover.
             let units = u64::from(own) * 2 + free * 2 / u64::from(members.max(1));
-            Some((*dest, (units.min(FILLED) as u32, now + ROOM)))
+            Some((*dest, (units.min(SPARE_BELOW_UNITS) as u32, now + SPARE_CAPACITY_VALIDITY)))
         });
-        self.desk.believe(Beliefs {
-            room: room.collect(),
+        self.exchange.publish_view(FleetView {
+            spare_capacity: spare_capacity.collect(),
             at: now,
             members,
             tenants: tenants.collect(),
-            budgets: self.leases.iter().map(|(dest, lease)| (*dest, lease.schedule(now))).collect(),
+            leases: self.leases.iter().map(|(dest, lease)| (*dest, lease.schedule(now))).collect(),
             endpoints: endpoints.collect(),
         });
     }
 
-    /// As [`crate::peers::payload::GossipPayload::figures`].
-    pub(super) fn told_operators(&self, now: Micros) -> serde_json::Value {
-        let Some(beliefs) = self.desk.beliefs() else { return serde_json::json!({}) };
-        let ms = |time: Micros| time.0 / 1_000;
-        let tenants = beliefs.tenants.iter().map(|(t, of)| {
+    /// Implements [`crate::peers::payload::GossipPayload::figures`].
+    pub(super) fn operator_figures(&self, now: Micros) -> serde_json::Value {
+        let Some(view) = self.exchange.view() else { return serde_json::json!({}) };
+        let millis = |time: Micros| time.0 / 1_000;
+        let tenants = view.tenants.iter().map(|(tenant, of)| {
             serde_json::json!({
-                "tenant": t, "own_per_s": of.own, "fleet_per_s": of.fleet,
-                "age_ms": ms(of.age + (now - beliefs.at)), "coverage": of.coverage,
+                "tenant": tenant, "own_per_s": of.own, "fleet_per_s": of.fleet,
+                "age_ms": millis(of.age + (now - view.at)), "coverage": of.coverage,
             })
         });
-        let budgets = beliefs
-            .budgets
-            .keys()
-            .map(|dest| serde_json::json!({ "destination": dest, "share": beliefs.share_of(now, *dest) }));
-        let endpoints = beliefs.endpoints.iter().map(|(id, of)| {
+        let budgets = view.leases.keys().map(
+            |dest| serde_json::json!({ "destination": dest, "share": view.destination_share(now, *dest) }),
+        );
+        let endpoints = view.endpoints.iter().map(|(id, of)| {
             serde_json::json!({
-                "endpoint": id.to_string(), "belief": format!("{:?}", of.judged.belief),
-                "basis": format!("{:?}", of.judged.basis), "age_ms": ms(of.judged.age + (now - beliefs.at)),
+                "endpoint": id.to_string(), "belief": format!("{:?}", of.assessment.belief),
+                "basis": format!("{:?}", of.assessment.basis),
+                "age_ms": millis(of.assessment.age + (now - view.at)),
             })
         });
         serde_json::json!({
-            "age_ms": ms(now - beliefs.at),
-            "facts_age_ms": ms(now - self.facts.at),
+            "age_ms": millis(now - view.at),
+            "facts_age_ms": millis(now - self.facts.at),
             "tenants": tenants.collect::<Vec<_>>(),
             "budgets": budgets.collect::<Vec<_>>(),
             "endpoints": endpoints.collect::<Vec<_>>(),
-            "banned": self.facts.banned.len(),
+            "banned": self.facts.excluded.len(),
             "dropped": self.dropped,
         })
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -7,7 +7,7 @@
 pub(crate) use send_queue::*;
 
 use crate::api::*;
-use crate::shared::sharing::Beliefs;
+use crate::shared::sharing::FleetView;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
@@ -32,7 +32,7 @@
     /// Messages handed in per tenant with a quota since the process began.
     pub(crate) tenant_demand_counts: Vec<u64>,
     /// What the couriers share with each other.
-    pub(crate) beliefs: Option<Arc<Beliefs>>,
+    pub(crate) beliefs: Option<Arc<FleetView>>,
     /// When the leased fractions of limits have to be looked up again.
     pub(crate) lease_update_at: Option<Micros>,
     /// Endpoints whose last call in flight returned in this round.
--- a/tests/judgement.rs
+++ b/tests/judgement.rs
@@ -1,6 +1,8 @@
-//! Judgements on endpoints that couriers share: by table, and in a small world where an endpoint is out and comes back.
+//! SharedHealth on endpoints that couriers share: by table, and in a small world where an endpoint is out and comes back.
 
-use indigohold::shared::judgement::{Basis, Belief, Evidence, Hand, Judgements, Saw, Terms, Trial};
+use indigohold::shared::health::{
+    Basis, Belief, Evidence, HealthSettings, Observation, Override, ProbeTurn, SharedHealth,
+};
 use indigohold::shared::{Member, Version};
 use indigohold::Micros;
 use rand_core::{RngCore, SeedableRng};
@@ -9,25 +11,25 @@
 const S: u64 = 1_000_000;
 const E: u64 = 0x0a00_0001_1b58;
 
-fn said(saw: Saw, since: u32) -> Evidence {
-    Evidence { saw, since, life: 10_000 - since.min(9_000), tries: 0, tried: None }
+fn said(observation: Observation, age_ms: u32) -> Evidence {
+    Evidence { observation, age_ms, valid_ms: 10_000 - age_ms.min(9_000), probes: 0, since_probe_ms: None }
 }
 
 /// Courier 0, having heard these at 20 s, each from another member.
-fn hearing(words: &[Evidence]) -> Judgements {
-    let mut judge = Judgements::new(Member(0), Terms::default());
+fn hearing(words: &[Evidence]) -> SharedHealth {
+    let mut judge = SharedHealth::new(Member(0), HealthSettings::default());
     for (i, word) in words.iter().enumerate() {
         let version = Version { run: 1, counter: 1 };
-        assert!(judge.heard(Micros(20 * S), Member(i as u32 + 1), version, E, Micros(0), *word));
+        assert!(judge.receive(Micros(20 * S), Member(i as u32 + 1), version, E, Micros(0), *word));
     }
     judge
 }
 
 #[test]
 fn what_is_believed_by_table() {
-    use Saw::*;
-    let shut = |ms| Evidence { life: ms, ..said(Shut(ms), 0) };
-    type Row = (&'static str, Option<Hand>, Option<Saw>, Vec<Evidence>, Belief);
+    use Observation::*;
+    let shut = |ms| Evidence { valid_ms: ms, ..said(Shut(ms), 0) };
+    type Row = (&'static str, Option<Override>, Option<Observation>, Vec<Evidence>, Belief);
     let rows: Vec<Row> = vec![
         ("nothing", None, None, vec![], Belief::Free),
         ("one bad link", None, None, vec![said(Out, 0)], Belief::Free),
@@ -52,17 +54,23 @@
         ("back at one, out at one", None, None, vec![said(Cold, 0), said(Out, 500)], Belief::Cold),
         ("one says shut", None, None, vec![shut(60_000)], Belief::Free),
         ("two say shut", None, None, vec![shut(5_000), shut(3_000)], Belief::Shut(Micros(25 * S))),
-        ("banned, served here", Some(Hand::Ban), Some(Served), vec![said(Served, 0); 5], Belief::Banned),
-        ("trusted, others out", Some(Hand::Trust), None, vec![said(Out, 0); 39], Belief::Free),
-        ("trusted, out here", Some(Hand::Trust), Some(Out), vec![], Belief::Out),
+        (
+            "banned, served here",
+            Some(Override::Exclude),
+            Some(Served),
+            vec![said(Served, 0); 5],
+            Belief::Banned,
+        ),
+        ("trusted, others out", Some(Override::Trust), None, vec![said(Out, 0); 39], Belief::Free),
+        ("trusted, out here", Some(Override::Trust), Some(Out), vec![], Belief::Out),
     ];
     for (name, hand, own, words, belief) in rows {
         let mut judge = hearing(&words);
-        judge.by_hand(E, hand);
+        judge.set_override(E, hand);
         if let Some(own) = own {
-            judge.saw(Micros(20 * S), E, own, Micros(21 * S));
+            judge.observe(Micros(20 * S), E, own, Micros(21 * S));
         }
-        assert_eq!(judge.judge(Micros(20 * S), E).belief, belief, "{name}");
+        assert_eq!(judge.assess(Micros(20 * S), E).belief, belief, "{name}");
         // What was heard is never said: only own evidence is.
         let mut out = vec![];
         judge.tick(Micros(20 * S), &mut out);
@@ -72,41 +80,49 @@
 
 #[test]
 fn every_word_ends() {
-    let judge = hearing(&[said(Saw::Out, 0), said(Saw::Out, 0)]);
-    assert_eq!(judge.judge(Micros(29 * S), E).belief, Belief::Out);
-    assert_eq!(judge.judge(Micros(29 * S), E).age, Micros(9 * S));
-    assert_eq!(judge.judge(Micros(30 * S), E).basis, Basis::Nothing);
+    let judge = hearing(&[said(Observation::Out, 0), said(Observation::Out, 0)]);
+    assert_eq!(judge.assess(Micros(29 * S), E).belief, Belief::Out);
+    assert_eq!(judge.assess(Micros(29 * S), E).age, Micros(9 * S));
+    assert_eq!(judge.assess(Micros(30 * S), E).basis, Basis::Nothing);
 }
 
 #[test]
 fn a_good_word_opens_gently_and_a_false_one_only_once() {
-    let mut judge = Judgements::new(Member(0), Terms::default());
-    let hear = |j: &mut Judgements, at: u64, counter| {
-        j.heard(Micros(at), Member(1), Version { run: 1, counter }, E, Micros(0), said(Saw::Served, 0));
+    let mut judge = SharedHealth::new(Member(0), HealthSettings::default());
+    let hear = |j: &mut SharedHealth, at: u64, counter| {
+        j.receive(
+            Micros(at),
+            Member(1),
+            Version { run: 1, counter },
+            E,
+            Micros(0),
+            said(Observation::Served, 0),
+        );
     };
-    judge.saw(Micros(20 * S), E, Saw::Out, Micros(21 * S));
+    judge.observe(Micros(20 * S), E, Observation::Out, Micros(21 * S));
     hear(&mut judge, 21 * S, 1);
-    assert_eq!(judge.judge(Micros(21 * S), E).belief, Belief::Cold);
-    judge.saw(Micros(22 * S), E, Saw::Out, Micros(23 * S));
+    assert_eq!(judge.assess(Micros(21 * S), E).belief, Belief::Cold);
+    judge.observe(Micros(22 * S), E, Observation::Out, Micros(23 * S));
     for n in 2..10 {
         hear(&mut judge, (21 + n) * S, n);
-        assert_eq!(judge.judge(Micros((21 + n) * S), E).belief, Belief::Out, "at {n}");
+        assert_eq!(judge.assess(Micros((21 + n) * S), E).belief, Belief::Out, "at {n}");
     }
     hear(&mut judge, 33 * S, 20);
-    assert_eq!(judge.judge(Micros(33 * S), E).belief, Belief::Cold);
+    assert_eq!(judge.assess(Micros(33 * S), E).belief, Belief::Cold);
 }
 
 /// One courier with a bad link judges every endpoint falsely, among `n` that have no evidence of their own or are served.
 #[test]
 fn a_false_judgement_about_every_endpoint_takes_none_out_for_others() {
-    let mut fleet: Vec<Judgements> = (0..20).map(|i| Judgements::new(Member(i), Terms::default())).collect();
+    let mut fleet: Vec<SharedHealth> =
+        (0..20).map(|i| SharedHealth::new(Member(i), HealthSettings::default())).collect();
     let mut out = vec![];
-    (0..500).for_each(|e| fleet[7].saw(Micros(S), e, Saw::Out, Micros(2 * S)));
+    (0..500).for_each(|e| fleet[7].observe(Micros(S), e, Observation::Out, Micros(2 * S)));
     fleet[7].tick(Micros(S), &mut out);
     assert_eq!(out.len(), 500);
     for (i, judge) in fleet.iter_mut().enumerate().filter(|(i, _)| *i != 7) {
         for (endpoint, word) in &out {
-            judge.heard(
+            judge.receive(
                 Micros(S),
                 Member(7),
                 Version { run: 1, counter: *endpoint },
@@ -114,7 +130,7 @@
                 Micros(0),
                 *word,
             );
-            assert_eq!(judge.judge(Micros(S), *endpoint).belief, Belief::Free, "{i}");
+            assert_eq!(judge.assess(Micros(S), *endpoint).belief, Belief::Free, "{i}");
         }
         let mut passed_on = vec![];
         judge.tick(Micros(S), &mut passed_on);
@@ -123,7 +139,7 @@
 }
 
 struct World {
-    fleet: Vec<Judgements>,
+    fleet: Vec<SharedHealth>,
     trials: usize,
     most_at_once: usize,
     back_known: Vec<Option<u64>>,
@@ -134,17 +150,17 @@
 fn come_back(n: u32, groups: u32, dead: u32, seed: u64) -> World {
     let (mut rng, step, mut counter) = (Pcg32::seed_from_u64(seed), 20_000, 0);
     let mut world = World { fleet: vec![], trials: 0, most_at_once: 0, back_known: vec![None; n as usize] };
-    world.fleet = (0..n).map(|i| Judgements::new(Member(i), Terms::default())).collect();
+    world.fleet = (0..n).map(|i| SharedHealth::new(Member(i), HealthSettings::default())).collect();
     let here: Vec<Member> = (0..n).map(Member).collect();
     let mut net: Vec<(u64, u32, u32, Version, Evidence)> = vec![];
     let mut trying: Vec<Option<u64>> = vec![None; n as usize];
     for i in 0..n {
-        world.fleet[i as usize].saw(Micros(S), E, Saw::Out, Micros(4 * S));
+        world.fleet[i as usize].observe(Micros(S), E, Observation::Out, Micros(4 * S));
     }
     for now in (S..25 * S).step_by(step as usize) {
         let alive = |i: u32| i >= dead || now < 3 * S;
         for (_, to, from, version, word) in take(&mut net, now) {
-            world.fleet[to as usize].heard(Micros(now), Member(from), version, E, Micros(0), word);
+            world.fleet[to as usize].receive(Micros(now), Member(from), version, E, Micros(0), word);
         }
         for i in (0..n).filter(|i| alive(*i)) {
             let judge = &mut world.fleet[i as usize];
@@ -152,19 +168,21 @@
                 trying[i as usize] = None;
                 // Seen at the end of the call.
                 match now >= 12 * S {
-                    true => judge.saw(Micros(now), E, Saw::Cold, Micros(now)),
-                    false => judge.saw(Micros(now), E, Saw::Out, Micros(now + 2 * S)),
+                    true => judge.observe(Micros(now), E, Observation::Cold, Micros(now)),
+                    false => judge.observe(Micros(now), E, Observation::Out, Micros(now + 2 * S)),
                 }
-            } else if trying[i as usize].is_none() && judge.trial(Micros(now), E, &here) == Trial::Mine {
-                judge.begin_trial(Micros(now), E);
+            } else if trying[i as usize].is_none()
+                && judge.probe_turn(Micros(now), E, &here) == ProbeTurn::Mine
+            {
+                judge.begin_probe(Micros(now), E);
                 trying[i as usize] = Some(now);
                 world.trials += 1;
             }
-            if world.back_known[i as usize].is_none() && judge.judge(Micros(now), E).belief == Belief::Cold {
+            if world.back_known[i as usize].is_none() && judge.assess(Micros(now), E).belief == Belief::Cold {
                 world.back_known[i as usize] = Some(now);
             }
             if world.back_known[i as usize].is_some_and(|t| now >= t + 500_000) {
-                judge.saw(Micros(now), E, Saw::Served, Micros(now));
+                judge.observe(Micros(now), E, Observation::Served, Micros(now));
             }
             let mut out = vec![];
             judge.tick(Micros(now), &mut out);
--- a/tests/lease_histories.rs
+++ b/tests/lease_histories.rs
@@ -328,7 +328,7 @@
 /// Every entry fits the carrier's 48 bytes with the greatest values there are.
 #[test]
 fn entries_are_small() {
-    use indigohold::shared::{counts, judgement, lease};
+    use indigohold::shared::{counts, health, lease};
     let size = |said: Vec<u8>| assert!(said.len() <= 48, "{}", said.len());
     let (w, to, life) = (u32::MAX, Member(u32::MAX), u64::MAX);
     size(
@@ -345,9 +345,15 @@
     size(postcard::to_allocvec(&lease::Loan { to, units: w, run: life, stamp_ms: w, sequence: w }).unwrap());
     size(postcard::to_allocvec(&lease::LoanAck { to, run: life, sequence: w }).unwrap());
     size(postcard::to_allocvec(&counts::Tally { at_ms: w, requested: life, refused: life }).unwrap());
-    let saw = judgement::Saw::Shut(w);
+    let observation = health::Observation::Shut(w);
     size(
-        postcard::to_allocvec(&judgement::Evidence { saw, since: w, life: w, tries: 65_535, tried: Some(w) })
-            .unwrap(),
+        postcard::to_allocvec(&health::Evidence {
+            observation,
+            age_ms: w,
+            valid_ms: w,
+            probes: 65_535,
+            since_probe_ms: Some(w),
+        })
+        .unwrap(),
     );
 }
--- a/tests/measure_leases.rs
+++ b/tests/measure_leases.rs
@@ -11,7 +11,7 @@
 mod sharing;
 
 use common::S;
-use indigohold::shared::sharing::Matters;
+use indigohold::shared::sharing::SharedTopics;
 use sharing::{set_of, Fleet};
 
 const LIMIT: f64 = 60.0;
@@ -31,7 +31,7 @@
     if knows == Knows::Listed {
         (set.report_left, set.report_limit) = (None, None);
     }
-    let matters = Matters { limits, ..Matters::ALL };
+    let matters = SharedTopics { limits, ..SharedTopics::ALL };
     let mut fleet = Fleet::of(&set, LIMIT, Some(matters), seed);
     let place = move |u: f64| ((u.powf(skew) * f64::from(n)) as usize, 9);
     let warm = std::env::var("WARM").map_or(30, |s| s.parse().unwrap());
--- a/tests/shared_thread.rs
+++ b/tests/shared_thread.rs
@@ -12,7 +12,7 @@
 use indigohold::net::peers::{self, Peers};
 use indigohold::peers::payload::GossipPayload;
 use indigohold::peers::{cluster, Config, MemberStatus, Peers as Ground};
-use indigohold::shared::sharing::Matters;
+use indigohold::shared::sharing::SharedTopics;
 use indigohold::store::Journal;
 use indigohold::{Micros, PeerId};
 use indigohold_relay::Mesh;
@@ -116,7 +116,7 @@
             n: node_addresses.len(),
             incarnation: 1,
             seed: u64::from(index),
-            matters: Matters::ALL,
+            matters: SharedTopics::ALL,
         },
         riders: vec![Box::new(rider)],
         claim: Box::new(|_, _| None),
--- a/tests/sharing.rs
+++ b/tests/sharing.rs
@@ -97,8 +97,8 @@
     fleet.run(20 * S, 30.0, |u| ((u * 20.0) as usize, 9));
     for (i, (asked, back)) in fleet.by_sender.iter().enumerate().filter(|(i, _)| *i != 4) {
         assert_eq!(*back, 0, "{i}: of {asked}");
-        let beliefs = fleet.desks[i].beliefs().unwrap();
-        assert!(!beliefs.keeps_from(fleet.net.local(i), endpoint(1)), "{i}");
+        let beliefs = fleet.desks[i].view().unwrap();
+        assert!(!beliefs.excludes(fleet.net.local(i), endpoint(1)), "{i}");
     }
 }
 
@@ -132,8 +132,8 @@
     let mut fleet = Fleet::new(&set_of(4, true), LIMIT, true, 13);
     fleet.run(8 * S, 50.0, |_| (0, 0));
     let held = |fleet: &Fleet| {
-        let (beliefs, now) = (fleet.desks[0].beliefs().unwrap(), fleet.net.local(0));
-        (beliefs.share_of(now, 7).unwrap(), beliefs.part_of(now, indigohold::TenantId(0), 20.0))
+        let (beliefs, now) = (fleet.desks[0].view().unwrap(), fleet.net.local(0));
+        (beliefs.destination_share(now, 7).unwrap(), beliefs.tenant_share(now, indigohold::TenantId(0), 20.0))
     };
     assert!(held(&fleet).0 > 0.5 && held(&fleet).1.is_some(), "{:?}", held(&fleet));
     fleet.shares = false;
--- a/tests/sharing_words.rs
+++ b/tests/sharing_words.rs
@@ -3,9 +3,11 @@
 use indigohold::peers::payload::{kinds, GossipPayload};
 use indigohold::peers::{cluster, Config, Peers};
 use indigohold::shared::counts::Tally;
-use indigohold::shared::judgement::{Basis, Belief, Evidence, Saw};
+use indigohold::shared::health::{Basis, Belief, Evidence, Observation};
 use indigohold::shared::lease::{Demand, Loan, Start, LIMIT_UNITS};
-use indigohold::shared::sharing::{Desk, Facts, OfDestination, OfEndpoint, Sharing, Terms};
+use indigohold::shared::sharing::{
+    DestinationFacts, EndpointFacts, Exchange, Facts, Sharing, SharingSettings,
+};
 use indigohold::shared::Member;
 use indigohold::{EndpointId, Micros};
 use std::sync::Arc;
@@ -17,15 +19,22 @@
 }
 
 fn facts(now: Micros) -> Facts {
-    let of = OfDestination { dest: 7, demand: 45.0, came: (9, 9), limit: Some(50.0), called: 0, refused: 0 };
+    let of = DestinationFacts {
+        dest: 7,
+        demand: 45.0,
+        handed_in: (9, 9),
+        limit: Some(50.0),
+        calls_sent: 0,
+        calls_refused: 0,
+    };
     Facts { at: now, tenants: vec![(0, 3)], destinations: vec![of], ..Facts::default() }
 }
 
 #[test]
 fn what_is_cut_foreign_or_not_for_this_courier_is_dropped_and_counted() {
     let peers = |me| Peers::new(Config::new(cluster(["here"])), Micros(S), me, 2, 1, 3);
-    let (mut mine, mut other, desk) = (peers(0), peers(1), Arc::<Desk>::default());
-    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(2), Start::Restart, desk.clone());
+    let (mut mine, mut other, desk) = (peers(0), peers(1), Arc::<Exchange>::default());
+    let mut rider = Sharing::new(Micros(S), 0, 1, SharingSettings::exactly(2), Start::Restart, desk.clone());
     let demand = Demand { units: 9, weight: 1, owned: 0, in_force: 0, lent: 0, stamp_ms: 0 };
     let too_much = Demand { units: LIMIT_UNITS + 1, ..demand };
     let loan = Loan { to: Member(0), units: LIMIT_UNITS / 2, run: 1, stamp_ms: 0, sequence: 1 };
@@ -51,7 +60,7 @@
         assert!(other.set(Micros(S), *kind, *id, value));
     }
     for now in (S..6 * S).step_by(50_000).map(Micros) {
-        desk.lay(facts(now));
+        desk.publish_facts(facts(now));
         for (_, bytes) in other.tick(now) {
             mine.receive(now, Some(1), &bytes).unwrap();
         }
@@ -62,7 +71,7 @@
     }
     let dropped = rider.dropped();
     assert_eq!((dropped.malformed, dropped.foreign, dropped.old), (4, 5, 1), "{dropped:?}");
-    let share = desk.beliefs().unwrap().share_of(Micros(6 * S), 7).unwrap();
+    let share = desk.view().unwrap().destination_share(Micros(6 * S), 7).unwrap();
     assert!(share <= 0.5, "no loan was taken: {share}");
     // What this courier says itself can be read, and is no longer than an entry may be.
     let own: Vec<_> = other.get(kinds::DEMAND).chain(other.get(kinds::COUNTERS)).collect();
@@ -75,17 +84,17 @@
 #[test]
 fn a_life_that_has_passed_its_core_on_is_silent() {
     let mut peers = Peers::new(Config::new(cluster(["here"])), Micros(S), 0, 2, 1, 3);
-    let desk = Arc::<Desk>::default();
-    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(2), Start::Restart, desk.clone());
-    let mut run = |desk: &Desk, from: u64| {
+    let desk = Arc::<Exchange>::default();
+    let mut rider = Sharing::new(Micros(S), 0, 1, SharingSettings::exactly(2), Start::Restart, desk.clone());
+    let mut run = |desk: &Exchange, from: u64| {
         (from..from + 5 * S).step_by(100_000).map(Micros).for_each(|now| {
-            desk.lay(facts(now));
+            desk.publish_facts(facts(now));
             rider.tick(now, &mut peers);
         });
-        desk.beliefs().unwrap().at
+        desk.view().unwrap().at
     };
     let last = run(&desk, S);
-    desk.shut();
+    desk.close();
     assert_eq!(run(&desk, 6 * S), last);
 }
 
@@ -93,19 +102,32 @@
 #[test]
 fn what_is_taken_out_by_hand_is_out_whatever_is_seen_and_free_once_it_is_put_back() {
     let peers = |me| Peers::new(Config::new(cluster(["here"])), Micros(S), me, 3, 1, 3);
-    let (mut mine, desk) = (peers(0), Arc::<Desk>::default());
-    let mut rider = Sharing::new(Micros(S), 0, 1, Terms::exactly(3), Start::Restart, desk.clone());
+    let (mut mine, desk) = (peers(0), Arc::<Exchange>::default());
+    let mut rider = Sharing::new(Micros(S), 0, 1, SharingSettings::exactly(3), Start::Restart, desk.clone());
     let id = EndpointId { addr: [0, 0, 0, 1], port: 0 };
     let mut others = [peers(1), peers(2)];
-    let out = Evidence { saw: Saw::Out, since: 0, life: 10_000, tries: 0, tried: None };
+    let out = Evidence {
+        observation: Observation::Out,
+        age_ms: 0,
+        valid_ms: 10_000,
+        probes: 0,
+        since_probe_ms: None,
+    };
     for other in &mut others {
         let said = entry(1, &(5u64, out));
         assert!(other.set(Micros(S), kinds::EVIDENCE, 5, &said));
     }
     let mut run = |from: u64, saw, seen, banned: Arc<[u64]>| {
         for now in (from..from + 3 * S).step_by(50_000).map(Micros) {
-            let of = OfEndpoint { at: id, name: 5, saw, seen: Micros(seen), retry: now, tried: Micros(0) };
-            desk.lay(Facts { endpoints: vec![of], banned: banned.clone(), ..facts(now) });
+            let of = EndpointFacts {
+                id,
+                name: 5,
+                observation: saw,
+                observed_at: Micros(seen),
+                retry_at: now,
+                probed_at: Micros(0),
+            };
+            desk.publish_facts(Facts { endpoints: vec![of], excluded: banned.clone(), ..facts(now) });
             for (i, other) in others.iter_mut().enumerate() {
                 for (_, bytes) in other.tick(now) {
                     mine.receive(now, Some(i as u16 + 1), &bytes).unwrap();
@@ -113,17 +135,17 @@
             }
             rider.tick(now, &mut mine);
         }
-        let (beliefs, now) = (desk.beliefs().unwrap(), Micros(from + 3 * S));
-        (beliefs.endpoints.get(&id).map(|e| e.judged), beliefs.keeps_from(now, id), rider.figures(now))
+        let (beliefs, now) = (desk.view().unwrap(), Micros(from + 3 * S));
+        (beliefs.endpoints.get(&id).map(|e| e.assessment), beliefs.excludes(now, id), rider.figures(now))
     };
-    let (judged, ..) = run(S, Some(Saw::Served), S, Arc::default());
+    let (judged, ..) = run(S, Some(Observation::Served), S, Arc::default());
     assert_eq!(judged, None, "served here: nothing is held against it");
-    let (judged, keeps, figures) = run(4 * S, Some(Saw::Served), 4 * S, [5, 9].into());
+    let (judged, keeps, figures) = run(4 * S, Some(Observation::Served), 4 * S, [5, 9].into());
     let judged = judged.unwrap();
     assert_eq!((judged.belief, judged.basis, keeps), (Belief::Banned, Basis::Hand, true));
     assert_eq!(figures["banned"], 2);
     // It has failed here while it was out; the operators know better once it is back.
-    assert!(run(7 * S, Some(Saw::Out), 7 * S, [5].into()).1);
-    let (judged, keeps, _) = run(13 * S, Some(Saw::Out), 7 * S, Arc::default());
+    assert!(run(7 * S, Some(Observation::Out), 7 * S, [5].into()).1);
+    let (judged, keeps, _) = run(13 * S, Some(Observation::Out), 7 * S, Arc::default());
     assert_eq!((judged, keeps), (None, false));
 }
--- a/tests/support/sharing.rs
+++ b/tests/support/sharing.rs
@@ -5,7 +5,7 @@
 use super::notes::Net;
 use indigohold::peers::payload::GossipPayload;
 use indigohold::shared::lease::Start;
-use indigohold::shared::sharing::{Desk, Matters, Sharing, Terms};
+use indigohold::shared::sharing::{Exchange, SharedTopics, Sharing, SharingSettings};
 use indigohold::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -68,7 +68,7 @@
 pub struct Fleet {
     pub net: Net,
     pub riders: Vec<Sharing>,
-    pub desks: Vec<Arc<Desk>>,
+    pub desks: Vec<Arc<Exchange>>,
     pub benches: Vec<SenderHarness>,
     pub stand: Stand,
     pub ends: Ends,
@@ -103,11 +103,11 @@
 
 impl Fleet {
     pub fn new(set: &Settings, limit: f64, shares: bool, seed: u64) -> Fleet {
-        Fleet::of(set, limit, shares.then_some(Matters::ALL), seed)
+        Fleet::of(set, limit, shares.then_some(SharedTopics::ALL), seed)
     }
 
     /// Where only some matters are shared.
-    pub fn of(set: &Settings, limit: f64, matters: Option<Matters>, seed: u64) -> Fleet {
+    pub fn of(set: &Settings, limit: f64, matters: Option<SharedTopics>, seed: u64) -> Fleet {
         let n = set.senders as usize;
         let mut net = Net::new(n, seed, |_| {});
         (net.spoil, net.delay) = ((5, 5), (2_000, 60_000));
@@ -141,11 +141,11 @@
             net,
         };
         for i in 0..n {
-            let matters = matters.unwrap_or(Matters::ALL);
-            let terms = Terms { matters, ..Terms::exactly(set.senders) };
+            let matters = matters.unwrap_or(SharedTopics::ALL);
+            let settings = SharingSettings { topics: matters, ..SharingSettings::exactly(set.senders) };
             let (now, desk) = (fleet.net.local(i), fleet.desks[i].clone());
             let life = fleet.net.nodes[i].as_ref().expect("it is up").incarnation();
-            fleet.riders.push(Sharing::new(now, i as u16, life, terms, Start::Restart, desk));
+            fleet.riders.push(Sharing::new(now, i as u16, life, settings, Start::Restart, desk));
         }
         fleet
     }
@@ -166,10 +166,10 @@
         self.rider_at = self.net.now + 100_000;
         for i in 0..self.benches.len() {
             let now = self.net.local(i);
-            self.desks[i].lay(self.benches[i].sender.facts(now));
+            self.desks[i].publish_facts(self.benches[i].sender.facts(now));
             let peers = self.net.nodes[i].as_mut().expect("it is up");
             self.riders[i].tick(now, peers);
-            if let Some(beliefs) = self.desks[i].beliefs() {
+            if let Some(beliefs) = self.desks[i].view() {
                 self.benches[i].sender.apply_beliefs(now, beliefs);
             }
         }
