--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -22,7 +22,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long anything may take that must happen; far more than it does.
+/// How long anything may take that must happen.
 pub const LONG: Duration = Duration::from_secs(40);
 
 /// Waits until something holds.
@@ -259,8 +259,7 @@
 pub struct Endpoint {
     pub addr: SocketAddr,
     pub calls: Arc<Mutex<Vec<Http>>>,
-    /// Calls by message id. Counting them in `calls` for each answer takes longer with every call: after some
-    /// thousand of them the endpoint is slower than the couriers wait.
+    /// Calls by message id; a count through `calls` for each answer makes the endpoint too slow under load.
     pub call_counts: Arc<Mutex<HashMap<String, usize>>>,
 }
 
@@ -288,10 +287,8 @@
                     let id = call.header("req-id").unwrap().to_owned();
                     calls.lock().unwrap().push(call);
                     let nth = {
-                        let mut call_counts = call_counts.lock().unwrap();
-                        let count = call_counts.entry(id.clone()).or_default();
-                        *count += 1;
-                        *count
+                        let mut counts = call_counts.lock().unwrap();
+                        *counts.entry(id.clone()).and_modify(|count| *count += 1).or_insert(1)
                     };
                     match act(&id, nth) {
                         Act::Answer(text) => drop(writer.write_all(text.as_bytes())),
