--- a/tests/peers.rs
+++ b/tests/peers.rs
@@ -70,7 +70,7 @@
         net.run(S / 2);
         assert!(net.now < most, "{n}: the first entries did not reach every member");
     }
-    let start = (net.now - from) as f64 / S as f64;
+    let startup_secs = (net.now - from) as f64 / S as f64;
     net.run(20 * S);
     net.sent = (0, 0);
     net.run(quiet);
@@ -101,12 +101,12 @@
         net.run(S / 2);
         assert!(net.now < most, "{n}: entries set after the mass restart did not reach every member");
     }
-    let told = (net.now - restarted) as f64 / S as f64;
+    let recovery_secs = (net.now - restarted) as f64 / S as f64;
     let floor =
         net.nodes[0].as_ref().map_or(0.0, |p| 112.0 / p.beat_interval().secs()) * ((n - 1) * n) as f64;
     println!(
-        "{n} members, {loss} % lost: first entries at every member after {start:.1} s, one change after {change:.2} s, idle {:.0} messages/s \
-         {:.0} B/s, after a mass restart {:.0} messages/s {:.0} B/s, all entries at every member after {told:.0} s (floor {floor:.0} B/s)",
+        "{n} members, {loss} % lost: first entries at every member after {startup_secs:.1} s, one change after {change:.2} s, idle {:.0} messages/s \
+         {:.0} B/s, after a mass restart {:.0} messages/s {:.0} B/s, all entries at every member after {recovery_secs:.0} s (floor {floor:.0} B/s)",
         usual.0 / secs, usual.1 / secs, mass.0 / secs, mass.1 / secs
     );
     assert!(usual.1 / secs <= floor * 1.02, "idle traffic is above the floor");
