--- a/src/control/fleet_query.rs
+++ b/src/control/fleet_query.rs
@@ -13,7 +13,7 @@
 
 /// A query to the fleet.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(rename = "QuestionShape", deny_unknown_fields)]
 pub struct FleetQuery {
     /// Name of the kind of query.
     pub kind: String,
--- a/src/control/replay.rs
+++ b/src/control/replay.rs
@@ -17,7 +17,7 @@
 
 /// A replay order: the messages to send again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(deny_unknown_fields)]
+#[serde(rename = "WantShape", deny_unknown_fields)]
 pub struct ReplayRequest {
     /// Name of the tenant.
     pub tenant: String,
--- a/src/control/retention.rs
+++ b/src/control/retention.rs
@@ -12,7 +12,7 @@
 
 /// The messages that a policy or an order covers, by name. A field that is absent matches all messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
+#[serde(rename = "WhoseShape", default, deny_unknown_fields)]
 pub struct RetentionScope {
     /// Name of the tenant.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -27,7 +27,7 @@
 
 /// An order about retention.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(rename_all = "snake_case", deny_unknown_fields)]
+#[serde(rename = "OrderShape", rename_all = "snake_case", deny_unknown_fields)]
 pub enum RetentionOrder {
     /// Sets how long ended messages are kept.
     Set {
--- a/src/control/schema.rs
+++ b/src/control/schema.rs
@@ -22,7 +22,7 @@
 
 /// The messages that a drain covers, by name. A field that is absent matches all messages.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
+#[serde(rename = "ScopeShape", default, deny_unknown_fields)]
 pub struct DrainScope {
     /// Name of the frontend: `platform` or `mail`.
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -40,7 +40,7 @@
 
 /// A request to start a drain. Exactly one of `by_ms` and `within_ms` must be present.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default, deny_unknown_fields)]
+#[serde(rename = "WishShape", default, deny_unknown_fields)]
 pub struct NewDrain {
     /// The messages that the drain covers.
     pub scope: DrainScope,
